--- a/crates/decision/src/admission.rs
+++ b/crates/decision/src/admission.rs
@@ -17,7 +17,7 @@
 /// A slice of the learned curve: mean and squared deviations of both coordinates over `n` ticks.
 /// Rate in slice widths, delay in aims.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
-pub(crate) struct Slice {
+pub(crate) struct CurveBin {
     pub n: f64,
     pub rate: f64,
     pub delay: f64,
@@ -25,8 +25,8 @@
     pub delay_dev: f64,
 }
 
-impl Slice {
-    pub fn merge(&mut self, other: &Slice) {
+impl CurveBin {
+    pub fn merge(&mut self, other: &CurveBin) {
         let n = self.n + other.n;
         let (dr, dd) = (other.rate - self.rate, other.delay - self.delay);
         let part = self.n * other.n / n;
@@ -57,7 +57,7 @@
     pub capacity: f64,
     /// Slice width, connections a second; 0 until the first tick with admissions.
     pub width: f64,
-    pub slices: Vec<Slice>,
+    pub bins: Vec<CurveBin>,
     pub least_delay: f64,
     pub arrivals: u32,
     pub admitted: u32,
@@ -65,10 +65,10 @@
     pub delays: Vec<f64>,
     pub arrival_rate: f64,
     pub limit: Option<f64>,
-    pub p: f64,
+    pub admit_probability: f64,
     pub flash: bool,
     /// Admitted rates while some traffic was blocked; connections a second.
-    pub blocked: Slice,
+    pub blocked: CurveBin,
     pub recent_admitted: VecDeque<Micros>,
     pub recent_arrivals: VecDeque<Micros>,
 }
@@ -93,21 +93,21 @@
         if rho == 1.0 || rho.is_infinite() {
             return;
         }
-        for mut slice in std::mem::take(&mut self.slices) {
-            let (r, d) = slice.deviations();
-            slice.rate *= rho;
+        for mut bin in std::mem::take(&mut self.bins) {
+            let (r, d) = bin.deviations();
+            bin.rate *= rho;
             let n = (rho * r / TRUST_ERROR).powi(2).max((d / TRUST_ERROR).powi(2));
-            slice.set_deviations(rho * r, d, n.max(2.0));
-            self.add(slice);
+            bin.set_deviations(rho * r, d, n.max(2.0));
+            self.add(bin);
         }
         self.limit = self.limit.map(|limit| limit * rho);
     }
 
     /// Enters a tick's point in its slice.
-    pub fn add(&mut self, point: Slice) {
-        match self.slices.iter_mut().find(|s| s.rate.floor() == point.rate.floor()) {
-            Some(slice) => slice.merge(&point),
-            None => self.slices.push(point),
+    pub fn add(&mut self, point: CurveBin) {
+        match self.bins.iter_mut().find(|s| s.rate.floor() == point.rate.floor()) {
+            Some(bin) => bin.merge(&point),
+            None => self.bins.push(point),
         }
     }
 
@@ -117,16 +117,16 @@
             tick_at: 0,
             capacity: 0.0,
             width: 0.0,
-            slices: Vec::new(),
+            bins: Vec::new(),
             least_delay: f64::INFINITY,
             arrivals: 0,
             admitted: 0,
             delays: Vec::new(),
             arrival_rate: 0.0,
             limit: None,
-            p: 1.0,
+            admit_probability: 1.0,
             flash: false,
-            blocked: Slice::default(),
+            blocked: CurveBin::default(),
             recent_admitted: VecDeque::new(),
             recent_arrivals: VecDeque::new(),
         }
@@ -134,23 +134,23 @@
 }
 
 /// Standard errors tell; one tick has no deviation to judge it by, so it is never trusted.
-fn trusted(slice: &Slice) -> bool {
-    let (rate, delay) = slice.deviations();
-    slice.n >= 2.0 && rate.max(delay) / slice.n.sqrt() <= TRUST_ERROR
+fn trusted(bin: &CurveBin) -> bool {
+    let (rate, delay) = bin.deviations();
+    bin.n >= 2.0 && rate.max(delay) / bin.n.sqrt() <= TRUST_ERROR
 }
 
 impl Admission {
     /// The curve's rate at which delay meets the aim, in slice widths; `None` without a curve.
     fn invert(&self) -> Option<f64> {
-        let mut points: Vec<Slice> = Vec::new();
-        let mut trusted: Vec<Slice> = self.slices.iter().filter(|s| trusted(s)).copied().collect();
+        let mut points: Vec<CurveBin> = Vec::new();
+        let mut trusted: Vec<CurveBin> = self.bins.iter().filter(|s| trusted(s)).copied().collect();
         trusted.sort_by(|a, b| a.rate.total_cmp(&b.rate));
         let lowest = trusted.first()?.rate;
-        for mut slice in trusted {
-            while points.last().is_some_and(|l| l.rate >= slice.rate || l.delay >= slice.delay) {
-                slice.merge(&points.pop()?);
+        for mut bin in trusted {
+            while points.last().is_some_and(|l| l.rate >= bin.rate || l.delay >= bin.delay) {
+                bin.merge(&points.pop()?);
             }
-            points.push(slice);
+            points.push(bin);
         }
         let (mut r0, mut d0) = (0.0, self.least_delay);
         if d0 >= 1.0 {
@@ -172,8 +172,8 @@
         let seconds = (now - self.tick_at).max(1) as f64 / 1e6;
         let (inrate, admitted) = (f64::from(self.arrivals) / seconds, f64::from(self.admitted) / seconds);
         self.arrival_rate = ARRIVAL_WEIGHT * inrate + (1.0 - ARRIVAL_WEIGHT) * self.arrival_rate;
-        if self.p < 1.0 {
-            self.blocked.merge(&Slice { n: 1.0, rate: admitted, ..Slice::default() });
+        if self.admit_probability < 1.0 {
+            self.blocked.merge(&CurveBin { n: 1.0, rate: admitted, ..CurveBin::default() });
         }
         if self.width == 0.0 && admitted > 0.0 {
             self.width = admitted / SLICES_PER_RATE;
@@ -183,11 +183,11 @@
             let rank = (self.delays.len() * 95).div_ceil(100) - 1;
             let delay = self.delays[rank];
             self.least_delay = self.least_delay.min(delay);
-            self.add(Slice { n: 1.0, rate: admitted / self.width, delay, ..Slice::default() });
+            self.add(CurveBin { n: 1.0, rate: admitted / self.width, delay, ..CurveBin::default() });
         }
         self.limit = self.invert().map(|rate| rate * self.width);
         if !self.flash {
-            self.p = self.limit.map_or(1.0, |limit| (limit / self.arrival_rate).min(1.0));
+            self.admit_probability = self.limit.map_or(1.0, |limit| (limit / self.arrival_rate).min(1.0));
         }
         (self.tick_at, self.arrivals, self.admitted) = (now, 0, 0);
         self.delays.clear();
@@ -201,7 +201,7 @@
         let (from, arrivals, admitted) = self.window(now, keep);
         if self.flash {
             let seconds = (now - from).max(1) as f64 / 1e6;
-            self.p = (limit * seconds / arrivals as f64).min(1.0);
+            self.admit_probability = (limit * seconds / arrivals as f64).min(1.0);
             self.flash = admitted as f64 >= limit * seconds;
         }
     }
--- a/crates/decision/src/api.rs
+++ b/crates/decision/src/api.rs
@@ -15,14 +15,14 @@
     /// Harmless to repeat.
     Repeatable,
     /// Duplicates are discarded by the backends of a group, for a while.
-    Keyed(Group),
+    Keyed(KeyScope),
     /// Must never run twice.
     Once,
 }
 
 /// Backends that discard each other's duplicates of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum KeyScope {
     /// Every backend.
     All,
     /// Backends in the same zone.
@@ -35,33 +35,33 @@
 #[derive(Clone, Debug)]
 pub struct Class {
     /// Set-up is wanted within this time.
-    pub aim: Micros,
+    pub setup_target: Micros,
     /// The client stops waiting after this time.
     pub deadline: Micros,
     /// A message on an open connection is wanted within this time; 0 where nothing is stated.
-    pub message_aim: Micros,
+    pub message_target: Micros,
     /// How far its effect may be repeated.
     pub effect: Effect,
     /// How long a group discards duplicates of a keyed request.
-    pub window: Micros,
+    pub repeat_window: Micros,
 }
 
 /// A bound on the attempts beyond each request's first, over any span of a stated length.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Budget {
+pub struct RetryBudget {
     /// Further attempts allowed in a span however few requests it saw.
-    pub free: f64,
+    pub min_retries: f64,
     /// Further attempts allowed for each request accepted in the span.
-    pub share: f64,
+    pub ratio: f64,
     /// Length of the span.
-    pub span: Micros,
+    pub window: Micros,
 }
 
 /// Everything a balancer is told at its start. Unstated figures keep their defaults.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Number of relays that decide alike, this one included.
-    pub relays: u32,
+    pub proxies: u32,
     /// Zone of this relay, as an index that [`Member::zone`] uses too.
     pub zone: u16,
     /// Classes of request.
@@ -69,9 +69,9 @@
     /// Attempts allowed for one request.
     pub max_attempts: u32,
     /// Bound on further attempts, where one is stated.
-    pub budget: Option<Budget>,
+    pub budget: Option<RetryBudget>,
     /// A backend that the list withdraws gets nothing new; otherwise only draining binds.
-    pub removal_binds: bool,
+    pub exclude_removed: bool,
     /// A connection not set up within this time fails.
     pub connect_timeout: Micros,
     /// Clients are told when to come back after a refusal.
@@ -83,9 +83,9 @@
     /// Without a subscription, a list older than this is deemed known.
     pub ask_within: Micros,
     /// What a list would tell binds so long after it could be had, whether it came or not, where that is stated.
-    pub binds_after: Option<Micros>,
+    pub max_endpoints_age: Option<Micros>,
     /// The same after the service that tells it became another one.
-    pub binds_moved: Micros,
+    pub max_endpoints_age_after_move: Micros,
     /// Members' weights state their registered size.
     pub sized_weights: bool,
     /// Members' weights also fall with the load there, and change with each report.
@@ -99,51 +99,51 @@
     /// This value of their report is the time that a message takes there; milliseconds.
     pub delay_report: Option<usize>,
     /// A started backend takes at least this share of its capacity at first.
-    pub cold_from: f64,
+    pub slow_start_min_share: f64,
     /// A started backend is warm after this time.
-    pub cold: Micros,
+    pub slow_start_duration: Micros,
     /// Price of an attempt that crosses zones, as a share of the result.
     pub cross_zone_price: f64,
     /// Sent more than this multiple of its present capacity, a cold backend falls over...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ...when that lasts this long.
-    pub fall: Micros,
+    pub overload_window: Micros,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         let class = Class {
-            aim: 500_000,
+            setup_target: 500_000,
             deadline: 2_000_000,
-            message_aim: 0,
+            message_target: 0,
             effect: Effect::Repeatable,
-            window: 0,
+            repeat_window: 0,
         };
         Settings {
-            relays: 1,
+            proxies: 1,
             zone: 0,
             classes: vec![class],
             max_attempts: 3,
             budget: None,
-            removal_binds: true,
+            exclude_removed: true,
             connect_timeout: 250_000,
             retry_after: false,
             max_retry_after: 0,
             ask_for_list: false,
             ask_within: 10_000_000,
-            binds_after: None,
-            binds_moved: 0,
+            max_endpoints_age: None,
+            max_endpoints_age_after_move: 0,
             sized_weights: false,
             live_weights: false,
             groups: false,
             may_probe: false,
             load_report: None,
             delay_report: None,
-            cold_from: 0.2,
-            cold: 20_000_000,
+            slow_start_min_share: 0.2,
+            slow_start_duration: 20_000_000,
             cross_zone_price: 0.0,
-            fall_multiple: 2.0,
-            fall: 1_000_000,
+            overload_multiple: 2.0,
+            overload_window: 1_000_000,
         }
     }
 }
@@ -167,18 +167,18 @@
     /// Refuses what is out of range and names the field.
     pub fn check(&self) -> Result<(), InvalidSettings> {
         let share = |value: f64| (0.0..=1.0).contains(&value);
-        let budget = |b: &Budget| b.free >= 0.0 && b.share >= 0.0 && b.span > 0;
+        let budget = |b: &RetryBudget| b.min_retries >= 0.0 && b.ratio >= 0.0 && b.window > 0;
         let fields = [
-            ("relays", self.relays > 0),
+            ("relays", self.proxies > 0),
             ("classes", !self.classes.is_empty()),
             ("classes[].deadline", self.classes.iter().all(|class| class.deadline > 0)),
             ("max_attempts", self.max_attempts > 0),
             ("budget", self.budget.as_ref().is_none_or(budget)),
             ("connect_timeout", self.connect_timeout > 0),
-            ("cold_from", share(self.cold_from)),
+            ("cold_from", share(self.slow_start_min_share)),
             ("cross_zone_price", share(self.cross_zone_price)),
-            ("fall_multiple", self.fall_multiple > 0.0),
-            ("fall", self.fall > 0),
+            ("fall_multiple", self.overload_multiple > 0.0),
+            ("fall", self.overload_window > 0),
         ];
         match fields.into_iter().find(|&(_, sound)| !sound) {
             Some((field, _)) => Err(InvalidSettings { field }),
@@ -243,11 +243,11 @@
     /// The client gives up at this time.
     pub deadline: Micros,
     /// Expected work per second, as microseconds of a standard core, where hinted.
-    pub hint: Option<f64>,
+    pub load_hint: Option<f64>,
     /// Packets of an established connection arrive.
     pub mid_flow: bool,
     /// The client is back after a break or a move.
-    pub returning: bool,
+    pub reconnecting: bool,
 }
 
 /// How an attempt or a probe ended.
@@ -258,7 +258,7 @@
     /// Answered with an error; may have run.
     Error,
     /// Turned away unseen.
-    Full,
+    Overloaded,
     /// No answer in time; may have run.
     Timeout,
     /// No connection could be made; never ran.
@@ -268,13 +268,13 @@
     /// Withdrawn; may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
 }
 
 impl Status {
     /// Whether the attempt may have had its effect.
     pub fn may_have_run(self) -> bool {
-        !matches!(self, Status::Full | Status::ConnectFailed | Status::Moot)
+        !matches!(self, Status::Overloaded | Status::ConnectFailed | Status::NotSent)
     }
 }
 
@@ -288,25 +288,25 @@
     /// A call failed or the subscription broke; no entries.
     Failed,
     /// A call failed, as there was no way to the service that tells of the list; no entries.
-    Unreached,
+    Unreachable,
     /// The service that tells of the list is another one now, and has not told it yet; no entries.
-    Moved,
+    DiscoveryMoved,
 }
 
 /// News of an open connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Note {
+pub enum Measurement {
     /// Its load now, in microseconds of work a second.
     Load(f64),
     /// Time a message takes at its backend now.
     Delay(Micros),
     /// A message has been without its answer on this connection for so long.
-    Silent(Micros),
+    Unanswered(Micros),
 }
 
 /// The end of an attempt.
 #[derive(Clone, Debug)]
-pub struct Ended {
+pub struct AttemptResult {
     /// The request.
     pub id: RequestId,
     /// Number of the attempt, from 0.
@@ -330,13 +330,13 @@
         members: Arc<[Member]>,
     },
     /// Staff withhold a backend, whatever the list says, or (false) gave it back.
-    Withheld(BackendId, bool),
+    Maintenance(BackendId, bool),
     /// What the module learned whose place this one takes, after its list.
-    Inherited(Box<crate::Experience>),
+    LearnedState(Box<crate::LearnedState>),
     /// A client's request arrives; it is owed one final answer.
     Request(Request),
     /// A connection that already stands when the balancer starts.
-    Open(Request, BackendId),
+    Resumed(Request, BackendId),
     /// An attempt's connection stands.
     Established {
         /// The request.
@@ -347,13 +347,13 @@
         latency: Micros,
     },
     /// An attempt ended.
-    Ended(Ended),
+    AttemptEnded(AttemptResult),
     /// The client left; nothing is owed any more.
     ClientGone(RequestId),
     /// The process is about to end: whoever waits is answered, and nothing more is begun.
     Stopping,
     /// News of an open connection.
-    Noted(RequestId, Note),
+    Measured(RequestId, Measurement),
     /// A probe's result.
     Probed {
         /// The backend probed.
--- a/crates/decision/src/spread.rs
+++ b/crates/decision/src/fair_share.rs
@@ -2,7 +2,7 @@
 //! room that reports promise. Bounds and weighs for `logic`, which decides.
 
 use crate::api::Micros;
-use crate::logic::{Balancer, COLD_PART, PACE};
+use crate::logic::{Balancer, EVALUATION_INTERVAL_US, SLOW_START_UTILIZATION};
 
 /// Load of a connection before any was told; microseconds of work a second. Ten fill a core: the bench's page on this
 /// kind of service says 15 to 60, and a class may be heavier than the usual.
@@ -20,9 +20,9 @@
 /// Own arrivals are counted this far back, and what is known before weighs as much: soon enough for a storm, which
 /// lasts some seconds; microseconds.
 const SEEN: Micros = 2_000_000;
-/// A load that is read was true up to half a second before it came, by the brief, and is gone by for `PACE`;
-/// microseconds.
-const BLIND: Micros = PACE + 500_000;
+/// A load that is read was true up to half a second before it came, by the brief, and is gone by for
+/// `EVALUATION_INTERVAL_US`; microseconds.
+const BLIND: Micros = EVALUATION_INTERVAL_US + 500_000;
 
 /// Connections that fill a core, from the sum of the loads of `told` connections.
 fn core_holds(told: f64, sum: f64) -> f64 {
@@ -52,17 +52,20 @@
 /// number their requests alike do not draw alike.
 fn lot(relay: u64, id: u64, now: Micros) -> f64 {
     let mut of_relay = fastrand::Rng::with_seed(relay);
-    fastrand::Rng::with_seed(of_relay.u64(..) ^ id.wrapping_mul(0x9E37_79B9_7F4A_7C15) ^ (now / PACE)).f64()
+    fastrand::Rng::with_seed(
+        of_relay.u64(..) ^ id.wrapping_mul(0x9E37_79B9_7F4A_7C15) ^ (now / EVALUATION_INTERVAL_US),
+    )
+    .f64()
 }
 
 impl Balancer {
     /// Connections that fill a backend of size one: by the loads that we were told of, a core of them. Where weights
     /// state no sizes, a backend holds what one of them carries now at least, if all relays hold what we do.
     fn unit_holds(&self) -> f64 {
-        let core = core_holds(f64::from(self.total.open - self.total.unknown), self.total.known);
+        let core = core_holds(f64::from(self.total.open - self.total.unknown_count), self.total.known_load);
         // Those that stand: attempts that are out say what is wanted, not what is carried.
-        let ours: usize = self.known.iter().map(|&i| self.backends[i].standing.len()).sum();
-        let carried = f64::from(self.settings.relays) * ours as f64;
+        let ours: usize = self.backends_in_use.iter().map(|&i| self.backends[i].established.len()).sum();
+        let carried = f64::from(self.settings.proxies) * ours as f64;
         match self.settings.sized_weights {
             true => core,
             false => core.max(carried / self.admission.capacity.max(1.0)),
@@ -70,21 +73,24 @@
     }
 
     /// Our part of the connections that all may open in a window at backends of that size, were they warm.
-    pub(crate) fn cold_part(&self, size: f64, part: f64) -> f64 {
-        let (window, relays) = (self.settings.fall as f64 / self.settings.cold as f64, self.settings.relays);
-        size * self.unit_holds() * part * self.settings.fall_multiple * window / f64::from(relays)
+    pub(crate) fn slow_start_quota(&self, size: f64, part: f64) -> f64 {
+        let (window, relays) = (
+            self.settings.overload_window as f64 / self.settings.slow_start_duration as f64,
+            self.settings.proxies,
+        );
+        size * self.unit_holds() * part * self.settings.overload_multiple * window / f64::from(relays)
     }
 
     /// Of few relays: our part of a cold budget, saved up to now. A backend can do what it took
     /// while warm: our rate of set-ups to one, and not of tries, as clients that come again say nothing.
     pub(crate) fn tokens(&self, i: usize, now: Micros, share: f64) -> f64 {
-        let fall = self.settings.fall as f64 / 1e6;
+        let fall = self.settings.overload_window as f64 / 1e6;
         let age = now.saturating_sub(self.started.unwrap_or(now)).max(self.admission.tick) as f64 / 1e6;
-        let part = self.weight(i) * COLD_PART / self.admission.capacity.max(f64::MIN_POSITIVE);
+        let part = self.weight(i) * SLOW_START_UTILIZATION / self.admission.capacity.max(f64::MIN_POSITIVE);
         // All relays together send a cold backend a connection in two windows, whatever was seen before.
-        let least = 0.5 / (fall * f64::from(self.settings.relays)).max(1e-3);
-        let seen = self.set_ups as f64 / age * part * share * self.settings.fall_multiple;
-        let rate = self.by_size(i, share, seen.max(least) * fall) / fall;
+        let least = 0.5 / (fall * f64::from(self.settings.proxies)).max(1e-3);
+        let seen = self.set_ups as f64 / age * part * share * self.settings.overload_multiple;
+        let rate = self.slow_start_refill(i, share, seen.max(least) * fall) / fall;
         let (window, passed) = (rate * fall, now.saturating_sub(self.backends[i].tokens_at) as f64 / 1e6);
         (self.backends[i].tokens + rate * passed).min(window.max((window * SAVED_WINDOWS).min(1.0)))
     }
@@ -92,7 +98,7 @@
     /// Draws one of the open backends by its room, in cores, with the chance that there is room for all who arrive;
     /// none of them where others take it. `None` where nothing is to be drawn: there is room for all, or the first
     /// one is still to be asked how full it is. `among` are the backends from which the fleet's room is told.
-    pub(crate) fn draw_room(
+    pub(crate) fn draw_by_headroom(
         &self,
         now: Micros,
         id: u64,
@@ -110,7 +116,7 @@
         // A group costs a backend one mean load more, whatever comes of it.
         let loads = if self.settings.groups { 2.0 } else { 1.0 };
         let part =
-            part(all / size, loads, holds, arrivals(seen, holds, life, f64::from(self.settings.relays)));
+            part(all / size, loads, holds, arrivals(seen, holds, life, f64::from(self.settings.proxies)));
         let mut at = lot(self.seed, id, now) / part * all;
         let mut takes = |room: &f64| {
             at -= room;
--- a/crates/decision/src/spread/tests.rs
+++ b/crates/decision/src/fair_share/tests.rs
@@ -38,11 +38,11 @@
 #[test]
 fn a_lot_is_even_and_holds_for_a_second_at_one_relay() {
     for mean in [
-        (0..1_000).map(|id| lot(1, id, 7 * PACE)).sum::<f64>() / 1_000.0,
-        (0..1_000).map(|relay| lot(relay, 3, 7 * PACE)).sum::<f64>() / 1_000.0,
+        (0..1_000).map(|id| lot(1, id, 7 * EVALUATION_INTERVAL_US)).sum::<f64>() / 1_000.0,
+        (0..1_000).map(|relay| lot(relay, 3, 7 * EVALUATION_INTERVAL_US)).sum::<f64>() / 1_000.0,
     ] {
         assert!((mean - 0.5).abs() < 0.03, "{mean}");
     }
-    assert_eq!(lot(1, 5, 7 * PACE), lot(1, 5, 7 * PACE + 999_999));
-    assert_ne!(lot(1, 5, 7 * PACE), lot(1, 5, 8 * PACE));
+    assert_eq!(lot(1, 5, 7 * EVALUATION_INTERVAL_US), lot(1, 5, 7 * EVALUATION_INTERVAL_US + 999_999));
+    assert_ne!(lot(1, 5, 7 * EVALUATION_INTERVAL_US), lot(1, 5, 8 * EVALUATION_INTERVAL_US));
 }
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -21,16 +21,16 @@
 
 mod admission;
 pub mod api;
-mod experience;
+mod fair_share;
+mod freshness;
+mod learned_state;
 pub mod logic;
-mod news;
-mod set_up_limit;
-mod spread;
+mod setup_limit;
 mod state;
 mod table;
 
 pub use api::*;
-pub use experience::{ClockOffset, Experience, moved};
+pub use learned_state::{ClockOffset, LearnedState, moved};
 pub use logic::Balancer;
 
 /// Keeps the example in the README compiling and running.
--- a/crates/decision/src/set_up_limit.rs
+++ b/crates/decision/src/setup_limit.rs
@@ -25,7 +25,7 @@
 
 /// Set-ups of this proxy, whatever backend they are at.
 #[derive(Debug)]
-pub(crate) struct SetUpLimit {
+pub(crate) struct SetupLimit {
     /// A stream of its own: what is drawn here changes no other draw.
     chance: fastrand::Rng,
     /// Where set-ups failed since the last one that succeeded: backend and zone.
@@ -44,10 +44,10 @@
     lowered_at: Micros,
 }
 
-impl SetUpLimit {
+impl SetupLimit {
     /// Nothing is limited; another seed at each of the proxies, which may be many.
     pub fn new(seed: u64, many: bool) -> Self {
-        SetUpLimit {
+        SetupLimit {
             chance: fastrand::Rng::with_seed(seed ^ CHANCE),
             failed: BTreeSet::new(),
             shared: if many { SHARED_UNPROVEN } else { SHARED },
--- a/crates/decision/src/state.rs
+++ b/crates/decision/src/state.rs
@@ -2,18 +2,18 @@
 
 use crate::admission::Admission;
 use crate::api::*;
-use crate::logic::MANY;
-use crate::news::News;
-use crate::set_up_limit::SetUpLimit;
+use crate::freshness::EndpointsFreshness;
+use crate::logic::LARGE_FLEET_PROXIES;
+use crate::setup_limit::SetupLimit;
 use crate::table::Table;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Timer tokens: learning tick, look at the held requests, renewed subscription, moves, watching probes.
-pub(crate) const TICK: u64 = 0;
-pub(crate) const HOLD: u64 = 1;
-pub(crate) const ASK: u64 = 2;
-pub(crate) const EMPTY: u64 = 3;
-pub(crate) const WATCH: u64 = 4;
+pub(crate) const TIMER_ADMISSION: u64 = 0;
+pub(crate) const TIMER_HELD_REQUESTS: u64 = 1;
+pub(crate) const TIMER_SUBSCRIBE: u64 = 2;
+pub(crate) const TIMER_MOVES: u64 = 3;
+pub(crate) const TIMER_PROBES: u64 = 4;
 
 /// A withdrawn backend keeps its entries this long unheard of, where removal does not bind; microseconds.
 const WITHDRAWN_MEMORY: Micros = 30_000_000;
@@ -22,7 +22,7 @@
 
 /// A list may tell of a start so long after it; microseconds. Where a clock is wrong, a backend counts as that much
 /// warmer than it is at most: a third to a half of its capacity in a warm-up of nine seconds, within what
-/// [`crate::logic::COLD_PART`] leaves.
+/// [`crate::logic::SLOW_START_UTILIZATION`] leaves.
 const LATENESS: Micros = 2_000_000;
 /// Part of the cold budget where it is saved: what one window left and what the next brings may come in one.
 const BUCKET_PART: f64 = 0.5;
@@ -31,14 +31,14 @@
 pub(crate) struct Backend {
     pub member: Member,
     /// Size that its table entries go by.
-    pub size: f64,
+    pub table_weight: f64,
     /// Attempts out and connections standing, ours.
-    pub ours: Load,
+    pub own_load: LoadEstimate,
     /// Connections standing, ours.
-    pub standing: BTreeSet<RequestId>,
+    pub established: BTreeSet<RequestId>,
     /// Load of ours at which it was last slow or shed, less a cut; infinite before.
-    pub ceiling: f64,
-    pub cut_at: Micros,
+    pub load_limit: f64,
+    pub load_limit_cut_at: Micros,
     /// Nothing new before this time, as it was slow or shed a connection.
     pub slow_until: Micros,
     /// When a report was last asked for, and the last one: when it came and the load in it.
@@ -46,35 +46,35 @@
     /// `None` in place of a load: probing failed, or told none.
     pub report: Option<(Micros, Option<f64>)>,
     /// Load of ours when it came; and until when reports tell of a time before we last shed there.
-    pub reported: f64,
+    pub load_at_report: f64,
     pub shed_until: Micros,
     /// Failures of late, fading, as they stood at that time.
     pub failures: f64,
     pub failed_at: Micros,
     pub trial_at: Micros,
     /// Only the list speaks for it, or against it: nothing of ours was answered there since.
-    pub unproven: bool,
+    pub unverified: bool,
     /// Probes sent since it was last tried with a request, while unproven.
-    pub asked: u32,
+    pub verification_probes: u32,
     /// Seen draining and not listed ready since.
     pub drained: bool,
     /// Staff withhold it, and since when.
-    pub withheld: bool,
-    pub withheld_at: Micros,
+    pub in_maintenance: bool,
+    pub maintenance_since: Micros,
     /// Staff gave it back, and nothing was sent there since.
-    pub recalled: bool,
+    pub returned_to_service: bool,
     /// The process that runs there now was started as planned: after a drain, by staff, or on a new machine.
-    pub planned: bool,
+    pub planned_start: bool,
     /// The quickest set-up there: what is left of a set-up without waiting.
-    pub least_set_up: Micros,
+    pub min_setup_latency: Micros,
     /// When the list withdrew it; in the far future while ready.
     pub withdrawn_at: Micros,
     /// Every connection of ours there broke, the last one too, and none was made since.
-    pub lost: bool,
+    pub all_connections_lost: bool,
     /// Start of its process as listed or observed, by our clock; 0 for long ago.
     pub started: Micros,
     /// It was observed, and no list told of it yet.
-    pub seen_new: bool,
+    pub restart_observed: bool,
     pub tokens: f64,
     pub tokens_at: Micros,
 }
@@ -83,31 +83,31 @@
     pub fn new(member: &Member, now: Micros) -> Self {
         Backend {
             member: member.clone(),
-            size: 0.0,
-            ours: Load::default(),
-            standing: BTreeSet::new(),
-            ceiling: f64::INFINITY,
-            cut_at: 0,
+            table_weight: 0.0,
+            own_load: LoadEstimate::default(),
+            established: BTreeSet::new(),
+            load_limit: f64::INFINITY,
+            load_limit_cut_at: 0,
             slow_until: 0,
             probed_at: 0,
             report: None,
-            reported: 0.0,
+            load_at_report: 0.0,
             shed_until: 0,
             failures: 0.0,
             failed_at: 0,
             trial_at: 0,
-            unproven: false,
-            asked: 0,
+            unverified: false,
+            verification_probes: 0,
             drained: false,
-            withheld: false,
-            withheld_at: 0,
-            recalled: false,
-            planned: false,
-            least_set_up: Micros::MAX,
+            in_maintenance: false,
+            maintenance_since: 0,
+            returned_to_service: false,
+            planned_start: false,
+            min_setup_latency: Micros::MAX,
             withdrawn_at: Micros::MAX,
-            lost: false,
+            all_connections_lost: false,
             started: 0,
-            seen_new: false,
+            restart_observed: false,
             tokens: 0.0,
             tokens_at: now,
         }
@@ -128,88 +128,88 @@
 
     /// A process that started then: nothing of its cold budget is saved yet.
     pub fn start(&mut self, started: Micros, now: Micros) {
-        (self.started, self.tokens, self.tokens_at, self.lost) = (started, 0.0, now, false);
-        self.planned = false;
+        (self.started, self.tokens, self.tokens_at, self.all_connections_lost) = (started, 0.0, now, false);
+        self.planned_start = false;
     }
 
     /// When a process started that the list newly tells of, by our clock. The clock that it is told by may be another
     /// one than ours, and either may be wrong: it started before now, and not before the list that did not tell of it
     /// yet. One that we saw to be new before the list told is the same.
     fn told_start(&mut self, told: Micros, now: Micros, listed_at: Option<Micros>) -> Micros {
-        let earliest = if std::mem::take(&mut self.seen_new) { None } else { listed_at };
+        let earliest = if std::mem::take(&mut self.restart_observed) { None } else { listed_at };
         told.max(earliest.unwrap_or(0).saturating_sub(LATENESS)).min(now)
     }
 
     /// A new process: old evidence is void.
     pub fn renew(&mut self, started: Micros, now: Micros) {
         self.start(started, now);
-        (self.failures, self.ceiling) = (0.0, f64::INFINITY);
+        (self.failures, self.load_limit) = (0.0, f64::INFINITY);
     }
 
     /// Whether the list calls it ready, and staff do not withhold it.
     pub fn ready(&self) -> bool {
-        self.member.state == MemberState::Ready && !self.withheld
+        self.member.state == MemberState::Ready && !self.in_maintenance
     }
 
     /// Whether it drains or is withheld, so that the rules bar what is new.
-    pub fn closed(&self) -> bool {
-        self.drained || self.withheld
+    pub fn out_of_service(&self) -> bool {
+        self.drained || self.in_maintenance
     }
 }
 
 /// A number of connections and what is known of their load.
 #[derive(Clone, Copy, Default)]
-pub(crate) struct Load {
+pub(crate) struct LoadEstimate {
     pub open: u32,
     /// Sum of the known loads; microseconds of work a second.
-    pub known: f64,
+    pub known_load: f64,
     /// Connections of unknown load.
-    pub unknown: u32,
+    pub unknown_count: u32,
 }
 
-impl Load {
+impl LoadEstimate {
     /// Enters a connection of that load, or takes it out.
-    pub fn book(&mut self, load: Option<f64>, enter: bool) {
+    pub fn update(&mut self, load: Option<f64>, enter: bool) {
         let step = |n: u32| if enter { n + 1 } else { n.saturating_sub(1) };
         self.open = step(self.open);
         match load {
-            Some(load) => self.known = (self.known + if enter { load } else { -load }).max(0.0),
-            None => self.unknown = step(self.unknown),
+            Some(load) => self.known_load = (self.known_load + if enter { load } else { -load }).max(0.0),
+            None => self.unknown_count = step(self.unknown_count),
         }
     }
 }
 
 /// A request in hand.
-pub(crate) struct Work {
+pub(crate) struct RequestState {
     pub request: Request,
     pub attempts: u32,
     /// Backend of the attempt that is out, when it was sent and when it is given up.
-    pub out: Option<(usize, Micros, Micros)>,
+    pub current_attempt: Option<(usize, Micros, Micros)>,
     pub tried: Vec<usize>,
     /// First attempt that may have run: its backend and when it was sent.
     pub may_have_run: Option<(usize, Micros)>,
-    pub standing: bool,
-    pub closed: bool,
+    pub established: bool,
+    pub answered: bool,
     /// While held: when the event is due that it waits for.
-    pub wake: Micros,
+    pub retry_at: Micros,
     /// Its load, where noted or hinted; microseconds of work a second.
     pub load: Option<f64>,
     /// The load of the connection of that key before this one, where known.
-    pub before: Option<f64>,
+    pub previous_load: Option<f64>,
 }
 
-impl Work {
+impl RequestState {
     pub fn new(request: Request) -> Self {
-        Work {
+        RequestState {
             attempts: 0,
-            out: None,
+            current_attempt: None,
             tried: Vec::new(),
             may_have_run: None,
-            standing: false,
-            closed: false,
-            wake: 0,
-            load: request.hint,
-            before: None,
+            established: false,
+            answered: false,
+            retry_at: 0,
+            load: request.load_hint,
+            previous_load: None,
             request,
         }
     }
@@ -220,9 +220,9 @@
     pub(crate) settings: Settings,
     pub(crate) unknown_class: Class,
     /// The shortest aim of messages, 0 where none is stated; microseconds.
-    pub(crate) message_aim: f64,
+    pub(crate) message_target: f64,
     /// Bound on further attempts.
-    pub(crate) budget: Budget,
+    pub(crate) budget: RetryBudget,
     pub(crate) rng: fastrand::Rng,
     /// What its chance comes from: another one at each relay.
     pub(crate) seed: u64,
@@ -230,72 +230,72 @@
     pub(crate) backends: Vec<Backend>,
     pub(crate) index: BTreeMap<BackendId, usize>,
     /// Backends that staff withhold, listed or not.
-    pub(crate) withheld: BTreeSet<BackendId>,
+    pub(crate) backends_in_maintenance: BTreeSet<BackendId>,
     pub(crate) table: Table,
     /// The set of ready backends differs from that of the table.
     pub(crate) table_stale: bool,
     /// All our open connections.
-    pub(crate) total: Load,
+    pub(crate) total: LoadEstimate,
     pub(crate) admission: Admission,
-    pub(crate) works: BTreeMap<RequestId, Work>,
+    pub(crate) requests: BTreeMap<RequestId, RequestState>,
     /// Keys placed lately: when they were last set up or ended, and their load then, where known.
-    pub(crate) placed: BTreeMap<u64, (Micros, Option<f64>)>,
+    pub(crate) recent_keys: BTreeMap<u64, (Micros, Option<f64>)>,
     /// Connections set up since the start.
     pub(crate) set_ups: u64,
     /// Turns at cold backends that were spent in the last window, and when.
-    pub(crate) turns: VecDeque<(Micros, f64)>,
+    pub(crate) slow_start_slots: VecDeque<(Micros, f64)>,
     /// Requests without an attempt out, in order of arrival.
     pub(crate) held: Vec<RequestId>,
     /// Standing connections to be moved off backends that leave, in order.
-    pub(crate) leaving: VecDeque<RequestId>,
+    pub(crate) move_queue: VecDeque<RequestId>,
     /// When a note last told how long messages take somewhere.
-    pub(crate) noted_at: Micros,
+    pub(crate) measured_at: Micros,
     /// Backends that were slow lately.
-    pub(crate) slow: BTreeSet<usize>,
+    pub(crate) slow_backends: BTreeSet<usize>,
     /// Backends that we hold standing connections at.
-    pub(crate) known: BTreeSet<usize>,
+    pub(crate) backends_in_use: BTreeSet<usize>,
     /// When requests were accepted and further attempts made, as far back as the attempt budget counts.
     pub(crate) accepted: VecDeque<Micros>,
-    pub(crate) further: VecDeque<Micros>,
+    pub(crate) retries: VecDeque<Micros>,
     /// Probes in a row that failed at backends that served us meanwhile.
-    pub(crate) vain_probes: u32,
-    pub(crate) asking: bool,
+    pub(crate) consecutive_probe_failures: u32,
+    pub(crate) subscribe_scheduled: bool,
     /// How far the list is known.
-    pub(crate) news: News,
+    pub(crate) freshness: EndpointsFreshness,
     /// When it was last entered; none before the first.
     pub(crate) listed_at: Option<Micros>,
     /// The limit on set-ups while they fail everywhere alike.
-    pub(crate) set_up_limit: SetUpLimit,
+    pub(crate) setup_limit: SetupLimit,
     /// Calls to the list service in a row that failed.
-    pub(crate) calls: u32,
+    pub(crate) failed_list_calls: u32,
     /// The process is about to end: nothing more is begun.
     pub(crate) stopping: bool,
 }
 
 impl Balancer {
     /// The number of backends listed, and of those among them that get nothing new by rule or for their failures.
-    pub fn census(&self, now: Micros) -> (usize, usize) {
+    pub fn backend_counts(&self, now: Micros) -> (usize, usize) {
         let listed = |i: &usize| self.backends[*i].member.state != MemberState::Gone;
         let listed: Vec<usize> = (0..self.backends.len()).filter(listed).collect();
-        let avoided = listed.iter().filter(|&&i| self.barred(i) || self.suspect(i, now));
+        let avoided = listed.iter().filter(|&&i| self.excluded(i) || self.suspect(i, now));
         (listed.len(), avoided.count())
     }
 
     /// Enters a connection of that load at a backend, or takes it out.
-    pub(crate) fn book(&mut self, i: usize, load: Option<f64>, enter: bool) {
-        self.backends[i].ours.book(load, enter);
-        self.total.book(load, enter);
+    pub(crate) fn update_load(&mut self, i: usize, load: Option<f64>, enter: bool) {
+        self.backends[i].own_load.update(load, enter);
+        self.total.update(load, enter);
     }
 
     /// Spends what is left of a window's turns, one at most; how much that was.
-    pub(crate) fn spend_turn(&mut self, now: Micros, window: Micros, most: f64) -> f64 {
-        while self.turns.front().is_some_and(|&(at, _)| at + window < now) {
-            self.turns.pop_front();
+    pub(crate) fn spend_slow_start_slot(&mut self, now: Micros, window: Micros, most: f64) -> f64 {
+        while self.slow_start_slots.front().is_some_and(|&(at, _)| at + window < now) {
+            self.slow_start_slots.pop_front();
         }
-        let spent: f64 = self.turns.iter().map(|(_, turn)| turn).sum();
+        let spent: f64 = self.slow_start_slots.iter().map(|(_, turn)| turn).sum();
         let turn = (most - spent).clamp(0.0, 1.0);
         if turn > 0.0 {
-            self.turns.push_back((now, turn));
+            self.slow_start_slots.push_back((now, turn));
         }
         turn
     }
@@ -311,26 +311,26 @@
     }
 
     /// Forgets what lies before the span in which further attempts are counted; its ends are read against us.
-    pub(crate) fn count_span(&mut self, now: Micros) {
-        let from = now.saturating_sub(self.budget.span);
+    pub(crate) fn trim_retry_window(&mut self, now: Micros) {
+        let from = now.saturating_sub(self.budget.window);
         while self.accepted.front().is_some_and(|&at| at <= from) {
             self.accepted.pop_front();
         }
-        while self.further.front().is_some_and(|&at| at < from) {
-            self.further.pop_front();
+        while self.retries.front().is_some_and(|&at| at < from) {
+            self.retries.pop_front();
         }
     }
 
     /// Enters the answer to a probe, or that none came, and the load that it told.
     pub(crate) fn enter_report(&mut self, now: Micros, i: usize, answered: bool, load: Option<f64>) {
-        let reported = self.load(&self.backends[i].ours);
+        let reported = self.estimate_load(&self.backends[i].own_load);
         let backend = &mut self.backends[i];
-        (backend.report, backend.reported) = (Some((now, load.filter(|_| answered))), reported);
-        backend.unproven &= !answered;
+        (backend.report, backend.load_at_report) = (Some((now, load.filter(|_| answered))), reported);
+        backend.unverified &= !answered;
         if answered {
-            self.vain_probes = 0;
-        } else if !backend.standing.is_empty() {
-            self.vain_probes += 1;
+            self.consecutive_probe_failures = 0;
+        } else if !backend.established.is_empty() {
+            self.consecutive_probe_failures += 1;
         }
     }
 
@@ -338,58 +338,59 @@
     /// no fresh report tells.
     pub(crate) fn expected(&self, i: usize, now: Micros, age: Micros, since: bool) -> Option<f64> {
         let backend = &self.backends[i];
-        let added = (self.load(&backend.ours) - backend.reported) / self.able(i, now);
+        let added =
+            (self.estimate_load(&backend.own_load) - backend.load_at_report) / self.current_capacity(i, now);
         Some(backend.report(now, age)?? + if since { added } else { 0.0 })
     }
 
     /// Enters a standing connection at a backend, or takes it out.
-    pub(crate) fn stand(&mut self, i: usize, id: RequestId, enter: bool) {
-        let standing = &mut self.backends[i].standing;
+    pub(crate) fn set_established(&mut self, i: usize, id: RequestId, enter: bool) {
+        let standing = &mut self.backends[i].established;
         if enter {
             standing.insert(id);
-            self.known.insert(i);
+            self.backends_in_use.insert(i);
         } else if standing.remove(&id) && standing.is_empty() {
-            self.known.remove(&i);
+            self.backends_in_use.remove(&i);
         }
     }
 
     /// Takes out the held requests whose event is due, or all, in order of arrival.
-    pub(crate) fn take_held(&mut self, now: Micros, all: bool) -> Vec<Work> {
-        let works = &self.works;
-        let due = |id: &RequestId| works.get(id).is_none_or(|work| all || work.wake <= now);
+    pub(crate) fn take_held(&mut self, now: Micros, all: bool) -> Vec<RequestState> {
+        let requests = &self.requests;
+        let due = |id: &RequestId| requests.get(id).is_none_or(|state| all || state.retry_at <= now);
         let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.held).into_iter().partition(due);
         self.held = later;
-        due.into_iter().filter_map(|id| self.works.remove(&id)).collect()
+        due.into_iter().filter_map(|id| self.requests.remove(&id)).collect()
     }
 
     /// Keeps a request without an attempt out.
-    pub(crate) fn keep_held(&mut self, work: Work) {
-        self.held.push(work.request.id);
-        self.works.insert(work.request.id, work);
+    pub(crate) fn keep_held(&mut self, state: RequestState) {
+        self.held.push(state.request.id);
+        self.requests.insert(state.request.id, state);
     }
 
     /// Whether we hold connections there that would have told us, had it been slow lately.
-    pub(crate) fn vouched(&self, i: usize, now: Micros) -> bool {
-        !self.backends[i].standing.is_empty() && now >= self.backends[i].slow_until
+    pub(crate) fn observed_healthy(&self, i: usize, now: Micros) -> bool {
+        !self.backends[i].established.is_empty() && now >= self.backends[i].slow_until
     }
 
     /// Share of its capacity that a backend can surely do while it warms up; `None` once warm.
-    pub(crate) fn cold_share(&self, i: usize, now: Micros) -> Option<f64> {
-        let (started, from) = (self.backends[i].started, self.settings.cold_from);
-        let age = now.saturating_sub(started) as f64 / self.settings.cold.max(1) as f64;
+    pub(crate) fn slow_start_share(&self, i: usize, now: Micros) -> Option<f64> {
+        let (started, from) = (self.backends[i].started, self.settings.slow_start_min_share);
+        let age = now.saturating_sub(started) as f64 / self.settings.slow_start_duration.max(1) as f64;
         (started > 0 && age < 1.0).then_some(from + (1.0 - from) * age)
     }
 
     /// A request to be placed, and whether its key was lately: its load then is remembered.
-    pub(crate) fn take_up(&self, request: Request) -> (Work, bool) {
-        let lately = request.key.and_then(|key| self.placed.get(&key)).copied();
-        let before = lately.and_then(|(_, load)| load);
-        (Work { before, ..Work::new(request) }, lately.is_some())
+    pub(crate) fn new_request_state(&self, request: Request) -> (RequestState, bool) {
+        let lately = request.key.and_then(|key| self.recent_keys.get(&key)).copied();
+        let previous_load = lately.and_then(|(_, load)| load);
+        (RequestState { previous_load, ..RequestState::new(request) }, lately.is_some())
     }
 
     /// Enters a set-up delay of this tick, in aims of its class.
-    pub(crate) fn learn(&mut self, request: &Request, delay: Micros) {
-        let aim = self.class(request).aim.max(1);
+    pub(crate) fn record_setup_delay(&mut self, request: &Request, delay: Micros) {
+        let aim = self.class(request).setup_target.max(1);
         self.admission.delays.push(delay as f64 / aim as f64);
     }
 
@@ -405,17 +406,17 @@
     }
 
     /// Work that it can surely do now, while it warms up.
-    pub(crate) fn able(&self, i: usize, now: Micros) -> f64 {
-        self.capacity(i) * self.cold_share(i, now).unwrap_or(1.0)
+    pub(crate) fn current_capacity(&self, i: usize, now: Micros) -> f64 {
+        self.capacity(i) * self.slow_start_share(i, now).unwrap_or(1.0)
     }
 
     /// What we may send a cold backend in a window, at that share of its capacity, where we would by what was seen:
     /// no more than our part of what its size can take, as clients that come back after a crash are many while few
     /// backends are listed; and all of that part where it was started as planned. One back from a crash may not be
     /// what it was.
-    pub(crate) fn by_size(&self, i: usize, share: f64, seen: f64) -> f64 {
-        let part = self.cold_part(self.weight(i), BUCKET_PART) * share;
-        match (self.settings.sized_weights, self.backends[i].planned) {
+    pub(crate) fn slow_start_refill(&self, i: usize, share: f64, seen: f64) -> f64 {
+        let part = self.slow_start_quota(self.weight(i), BUCKET_PART) * share;
+        match (self.settings.sized_weights, self.backends[i].planned_start) {
             (false, _) => seen,
             (true, true) => part,
             (true, false) => seen.min(part),
@@ -423,24 +424,33 @@
     }
 
     /// Load of a connection, as far as known.
-    pub(crate) fn work_load(&self, work: &Work) -> f64 {
-        let load = work.load.or(work.before);
-        self.load(&Load { open: 1, known: load.unwrap_or(0.0), unknown: u32::from(load.is_none()) })
+    pub(crate) fn request_load(&self, state: &RequestState) -> f64 {
+        let load = state.load.or(state.previous_load);
+        self.estimate_load(&LoadEstimate {
+            open: 1,
+            known_load: load.unwrap_or(0.0),
+            unknown_count: u32::from(load.is_none()),
+        })
     }
 
     /// A connection of unknown load counts as the mean of the known, and without notes or hints one.
-    pub(crate) fn load(&self, load: &Load) -> f64 {
-        let known = f64::from(self.total.open - self.total.unknown);
-        let usual = if self.total.known > 0.0 { self.total.known / known.max(1.0) } else { 1.0 };
-        load.known + f64::from(load.unknown) * usual
+    pub(crate) fn estimate_load(&self, load: &LoadEstimate) -> f64 {
+        let known = f64::from(self.total.open - self.total.unknown_count);
+        let usual = if self.total.known_load > 0.0 { self.total.known_load / known.max(1.0) } else { 1.0 };
+        load.known_load + f64::from(load.unknown_count) * usual
     }
 
     /// Enters a connection that stands already; its backend.
-    pub(crate) fn open(&mut self, now: Micros, request: Request, backend: &BackendId) -> Option<usize> {
+    pub(crate) fn restore_connection(
+        &mut self,
+        now: Micros,
+        request: Request,
+        backend: &BackendId,
+    ) -> Option<usize> {
         let &i = self.index.get(backend)?;
         let id = request.id;
-        self.begin(Work::new(request), i, now, Micros::MAX);
-        self.establish(now, id, 0);
+        self.start_attempt(RequestState::new(request), i, now, Micros::MAX);
+        self.record_established(now, id, 0);
         Some(i)
     }
 
@@ -459,43 +469,48 @@
     }
 
     /// Enters those standing at a backend among the ones to be moved off, once each; whether they are the first.
-    pub(crate) fn queue_to_leave(&mut self, i: usize) -> bool {
-        let idle = self.leaving.is_empty();
-        let standing = self.backends[i].standing.iter();
-        let new: Vec<_> = standing.copied().filter(|id| !self.leaving.contains(id)).collect();
-        self.leaving.extend(new);
-        idle && !self.leaving.is_empty()
+    pub(crate) fn queue_moves(&mut self, i: usize) -> bool {
+        let idle = self.move_queue.is_empty();
+        let standing = self.backends[i].established.iter();
+        let new: Vec<_> = standing.copied().filter(|id| !self.move_queue.contains(id)).collect();
+        self.move_queue.extend(new);
+        idle && !self.move_queue.is_empty()
     }
 
     /// The loads of those standing at a backend, the heaviest first.
     pub(crate) fn heaviest(&self, i: usize) -> Vec<(f64, RequestId)> {
-        let works = self.backends[i].standing.iter().filter_map(|id| self.works.get(id));
-        let mut works: Vec<_> = works.map(|work| (self.work_load(work), work.request.id)).collect();
-        works.sort_by(|a, b| b.0.total_cmp(&a.0));
-        works
+        let requests = self.backends[i].established.iter().filter_map(|id| self.requests.get(id));
+        let mut requests: Vec<_> =
+            requests.map(|state| (self.request_load(state), state.request.id)).collect();
+        requests.sort_by(|a, b| b.0.total_cmp(&a.0));
+        requests
     }
 
     /// Enters that the client left.
-    pub(crate) fn leave(&mut self, id: RequestId) {
-        if let Some(work) = self.works.get_mut(&id) {
-            work.closed = true;
-            if work.out.is_none() {
-                self.works.remove(&id);
+    pub(crate) fn client_left(&mut self, id: RequestId) {
+        if let Some(state) = self.requests.get_mut(&id) {
+            state.answered = true;
+            if state.current_attempt.is_none() {
+                self.requests.remove(&id);
             }
         }
     }
 
     /// Enters a member of the list; its number.
-    pub(crate) fn enter(&mut self, member: &Member, now: Micros) -> usize {
+    pub(crate) fn upsert_member(&mut self, member: &Member, now: Micros) -> usize {
         let next = self.backends.len();
         let i = *self.index.entry(member.backend.clone()).or_insert(next);
         if i == next {
-            let withheld = self.withheld.contains(&member.backend);
-            self.backends.push(Backend { withheld, withheld_at: now, ..Backend::new(member, now) });
+            let withheld = self.backends_in_maintenance.contains(&member.backend);
+            self.backends.push(Backend {
+                in_maintenance: withheld,
+                maintenance_since: now,
+                ..Backend::new(member, now)
+            });
         }
         let (new, listed_at) = (i == next, self.listed_at);
         let backend = &mut self.backends[i];
-        let planned = new || backend.closed();
+        let planned = new || backend.out_of_service();
         let told_before = std::mem::replace(&mut backend.member, member.clone()).started;
         match member.state {
             MemberState::Ready => backend.drained = false,
@@ -507,124 +522,135 @@
             let started = backend.told_start(member.started, now, listed_at);
             if started > backend.started {
                 backend.renew(started, now);
-                backend.planned = planned;
+                backend.planned_start = planned;
             }
         }
         i
     }
 
     /// Whether its entries are due to be drawn anew: it came, went, or its size moved by more than a slack.
-    pub(crate) fn moved(&self, i: usize, now: Micros) -> bool {
+    pub(crate) fn table_entry_changed(&self, i: usize, now: Micros) -> bool {
         let size = if self.in_table(i, now) { self.weight(i) } else { 0.0 };
-        let (low, high) = (size.min(self.backends[i].size), size.max(self.backends[i].size));
+        let (low, high) = (size.min(self.backends[i].table_weight), size.max(self.backends[i].table_weight));
         low * SIZE_SLACK < high
     }
 
     /// Enters that staff withhold a backend, or gave it back. They restart it meanwhile: unless the list told of
     /// a later start, it counts as started now, with our part of its cold budget for the first connection.
-    pub(crate) fn withhold(&mut self, now: Micros, backend: &BackendId, withheld: bool) {
+    pub(crate) fn set_maintenance(&mut self, now: Micros, backend: &BackendId, withheld: bool) {
         let changed = match withheld {
-            true => self.withheld.insert(backend.clone()),
-            false => self.withheld.remove(backend),
+            true => self.backends_in_maintenance.insert(backend.clone()),
+            false => self.backends_in_maintenance.remove(backend),
         };
         let Some(&i) = self.index.get(backend).filter(|_| changed) else { return };
-        self.backends[i].withheld = withheld;
+        self.backends[i].in_maintenance = withheld;
         if withheld {
-            return self.backends[i].withheld_at = now;
+            return self.backends[i].maintenance_since = now;
         }
-        let told = Some(self.backends[i].started).filter(|&at| at > self.backends[i].withheld_at);
+        let told = Some(self.backends[i].started).filter(|&at| at > self.backends[i].maintenance_since);
         self.backends[i].renew(told.unwrap_or(now), now);
-        self.backends[i].seen_new = told.is_none();
-        (self.backends[i].planned, self.backends[i].recalled) = (true, true);
-        let share = self.cold_share(i, now).unwrap_or(1.0);
-        self.backends[i].tokens = self.by_size(i, share, 0.0).min(1.0);
+        self.backends[i].restart_observed = told.is_none();
+        (self.backends[i].planned_start, self.backends[i].returned_to_service) = (true, true);
+        let share = self.slow_start_share(i, now).unwrap_or(1.0);
+        self.backends[i].tokens = self.slow_start_refill(i, share, 0.0).min(1.0);
     }
 
     /// Whether a list ever named that backend, or staff withhold it.
     pub fn knows(&self, backend: &str) -> bool {
-        self.index.contains_key(backend) || self.withheld.contains(backend)
+        self.index.contains_key(backend) || self.backends_in_maintenance.contains(backend)
     }
 
     /// The backends that staff withhold.
-    pub fn withheld(&self) -> impl Iterator<Item = &str> {
-        self.withheld.iter().map(|backend| &**backend)
+    pub fn backends_in_maintenance(&self) -> impl Iterator<Item = &str> {
+        self.backends_in_maintenance.iter().map(|backend| &**backend)
     }
 
     /// The load of an open connection, where known; microseconds of work a second.
     pub fn load_of(&self, id: RequestId) -> Option<f64> {
-        self.works.get(&id).and_then(|work| work.load)
+        self.requests.get(&id).and_then(|state| state.load)
     }
 
     /// Who has entries: whoever is listed, and for a while whoever the list withdrew where not binding.
     pub(crate) fn in_table(&self, i: usize, now: Micros) -> bool {
         let backend = &self.backends[i];
-        let heard = !backend.unproven || now < backend.withdrawn_at.saturating_add(WITHDRAWN_MEMORY);
-        backend.ready() || !self.settings.removal_binds && !backend.drained && heard
+        let heard = !backend.unverified || now < backend.withdrawn_at.saturating_add(WITHDRAWN_MEMORY);
+        backend.ready() || !self.settings.exclude_removed && !backend.drained && heard
     }
 
     /// Forgets a further attempt made then, unless it was the first.
-    pub(crate) fn forget_further(&mut self, attempts: u32, sent: Micros) {
-        let at = self.further.iter().rposition(|&at| at == sent).filter(|_| attempts > 1);
-        at.and_then(|at| self.further.remove(at));
+    pub(crate) fn uncount_retry(&mut self, attempts: u32, sent: Micros) {
+        let at = self.retries.iter().rposition(|&at| at == sent).filter(|_| attempts > 1);
+        at.and_then(|at| self.retries.remove(at));
     }
 
     /// Enters the noted load of an open connection, if there is one; its backend.
-    pub(crate) fn rebook(&mut self, id: RequestId, load: f64) -> Option<usize> {
-        let work = self.works.get_mut(&id)?;
-        let (i, ..) = work.out?;
-        let before = work.load.replace(load);
-        self.book(i, before, false);
-        self.book(i, Some(load), true);
+    pub(crate) fn update_connection_load(&mut self, id: RequestId, load: f64) -> Option<usize> {
+        let state = self.requests.get_mut(&id)?;
+        let (i, ..) = state.current_attempt?;
+        let before = state.load.replace(load);
+        self.update_load(i, before, false);
+        self.update_load(i, Some(load), true);
         Some(i)
     }
 
     /// Enters how long a set-up took at a backend; the part of it that the quickest one did not take.
-    pub(crate) fn set_up(&mut self, i: usize, latency: Micros) -> Micros {
+    pub(crate) fn record_setup_latency(&mut self, i: usize, latency: Micros) -> Micros {
         self.set_ups += 1;
-        let least = &mut self.backends[i].least_set_up;
+        let least = &mut self.backends[i].min_setup_latency;
         *least = latency.min(*least);
         latency - *least
     }
 
     /// Enters an attempt.
-    pub(crate) fn begin(&mut self, mut work: Work, i: usize, now: Micros, until: Micros) {
-        self.book(i, work.load, true);
-        self.set_up_limit.begin();
-        self.backends[i].recalled = false;
-        work.attempts += 1;
-        work.out = Some((i, now, until));
-        work.tried.push(i);
-        self.works.insert(work.request.id, work);
+    pub(crate) fn start_attempt(&mut self, mut state: RequestState, i: usize, now: Micros, until: Micros) {
+        self.update_load(i, state.load, true);
+        self.setup_limit.begin();
+        self.backends[i].returned_to_service = false;
+        state.attempts += 1;
+        state.current_attempt = Some((i, now, until));
+        state.tried.push(i);
+        self.requests.insert(state.request.id, state);
     }
 
     /// Enters that the connection of the attempt that is out stands; its backend and request.
-    pub(crate) fn establish(&mut self, now: Micros, id: RequestId, attempt: u32) -> Option<(usize, Request)> {
-        let work = self.works.get_mut(&id).filter(|w| w.attempts == attempt + 1 && !w.standing)?;
-        let (i, ..) = work.out?;
-        (work.standing, work.closed) = (true, true);
-        self.set_up_limit.succeeded();
-        let (request, load) = (work.request.clone(), work.load);
-        self.stand(i, id, true);
+    pub(crate) fn record_established(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        attempt: u32,
+    ) -> Option<(usize, Request)> {
+        let state = self.requests.get_mut(&id).filter(|w| w.attempts == attempt + 1 && !w.established)?;
+        let (i, ..) = state.current_attempt?;
+        (state.established, state.answered) = (true, true);
+        self.setup_limit.succeeded();
+        let (request, load) = (state.request.clone(), state.load);
+        self.set_established(i, id, true);
         if let Some(key) = request.key {
-            self.placed.insert(key, (now, load));
+            self.recent_keys.insert(key, (now, load));
         }
         Some((i, request))
     }
 
     /// Takes out the attempt that is out: its request, its backend, when it was sent and its limit.
-    pub(crate) fn end(&mut self, now: Micros, ended: &Ended) -> Option<(Work, usize, Micros, Micros)> {
-        self.works.get(&ended.id).filter(|w| w.attempts == ended.attempt + 1 && w.out.is_some())?;
-        let mut work = self.works.remove(&ended.id)?;
-        let (i, sent, until) = work.out.take()?;
-        work.closed |= ended.closed;
-        self.book(i, work.load, false);
-        if work.standing {
-            self.stand(i, ended.id, false);
-            if let Some(key) = work.request.key {
-                self.placed.insert(key, (now, work.load));
+    pub(crate) fn end_attempt(
+        &mut self,
+        now: Micros,
+        ended: &AttemptResult,
+    ) -> Option<(RequestState, usize, Micros, Micros)> {
+        self.requests
+            .get(&ended.id)
+            .filter(|w| w.attempts == ended.attempt + 1 && w.current_attempt.is_some())?;
+        let mut state = self.requests.remove(&ended.id)?;
+        let (i, sent, until) = state.current_attempt.take()?;
+        state.answered |= ended.closed;
+        self.update_load(i, state.load, false);
+        if state.established {
+            self.set_established(i, ended.id, false);
+            if let Some(key) = state.request.key {
+                self.recent_keys.insert(key, (now, state.load));
             }
         }
-        Some((work, i, sent, until))
+        Some((state, i, sent, until))
     }
 
     /// The description of the request's class.
@@ -638,13 +664,13 @@
     }
 
     /// Whether it lies in another zone and crossing has a price.
-    pub(crate) fn far(&self, i: usize) -> bool {
+    pub(crate) fn in_other_zone(&self, i: usize) -> bool {
         self.backends[i].member.zone != self.settings.zone && self.settings.cross_zone_price > 0.0
     }
 
     /// Listed backends that warm up.
-    pub(crate) fn cold(&self, now: Micros) -> impl Iterator<Item = usize> {
-        self.ready().filter(move |&i| self.cold_share(i, now).is_some())
+    pub(crate) fn in_slow_start(&self, now: Micros) -> impl Iterator<Item = usize> {
+        self.ready().filter(move |&i| self.slow_start_share(i, now).is_some())
     }
 
     /// Builds the table of the backends that have a size, in the order of their ids.
@@ -653,16 +679,16 @@
         let members: Vec<_> = sized.collect();
         self.table.build(&members);
         for (backend, size) in self.backends.iter_mut().zip(sizes) {
-            backend.size = size.unwrap_or(0.0);
+            backend.table_weight = size.unwrap_or(0.0);
         }
     }
 
     /// Empty books.
-    pub(crate) fn empty(settings: Settings, unknown_class: Class, budget: Budget, seed: u64) -> Self {
-        let many = settings.relays > MANY;
-        let aims = settings.classes.iter().map(|c| c.message_aim).filter(|&aim| aim > 0);
+    pub(crate) fn empty(settings: Settings, unknown_class: Class, budget: RetryBudget, seed: u64) -> Self {
+        let many = settings.proxies > LARGE_FLEET_PROXIES;
+        let aims = settings.classes.iter().map(|c| c.message_target).filter(|&aim| aim > 0);
         Balancer {
-            message_aim: aims.min().unwrap_or(0) as f64,
+            message_target: aims.min().unwrap_or(0) as f64,
             unknown_class,
             budget,
             admission: Admission::new(0),
@@ -672,27 +698,27 @@
             started: None,
             backends: Vec::new(),
             index: BTreeMap::new(),
-            withheld: BTreeSet::new(),
+            backends_in_maintenance: BTreeSet::new(),
             table: Table::default(),
             table_stale: false,
-            total: Load::default(),
-            works: BTreeMap::new(),
-            placed: BTreeMap::new(),
+            total: LoadEstimate::default(),
+            requests: BTreeMap::new(),
+            recent_keys: BTreeMap::new(),
             set_ups: 0,
-            turns: VecDeque::new(),
+            slow_start_slots: VecDeque::new(),
             held: Vec::new(),
-            leaving: VecDeque::new(),
-            noted_at: 0,
-            slow: BTreeSet::new(),
-            known: BTreeSet::new(),
+            move_queue: VecDeque::new(),
+            measured_at: 0,
+            slow_backends: BTreeSet::new(),
+            backends_in_use: BTreeSet::new(),
             accepted: VecDeque::new(),
-            further: VecDeque::new(),
-            vain_probes: 0,
-            asking: false,
-            news: News::default(),
+            retries: VecDeque::new(),
+            consecutive_probe_failures: 0,
+            subscribe_scheduled: false,
+            freshness: EndpointsFreshness::default(),
             listed_at: None,
-            set_up_limit: SetUpLimit::new(seed, many),
-            calls: 0,
+            setup_limit: SetupLimit::new(seed, many),
+            failed_list_calls: 0,
             stopping: false,
         }
     }
--- a/crates/decision/tests/common/mod.rs
+++ b/crates/decision/tests/common/mod.rs
@@ -13,9 +13,9 @@
 
 pub fn settings() -> Settings {
     let mut settings = Settings { max_attempts: 3, ..Settings::default() };
-    settings.classes[0].aim = 300 * MS;
+    settings.classes[0].setup_target = 300 * MS;
     settings.classes[0].deadline = 2 * S;
-    settings.classes[0].message_aim = 100 * MS;
+    settings.classes[0].message_target = 100 * MS;
     settings
 }
 
@@ -58,7 +58,7 @@
     }
 
     pub fn ended(&mut self, id: RequestId, attempt: u32, status: Status, closed: bool) -> Vec<Action> {
-        self.event(Event::Ended(Ended { id, attempt, status, latency: MS, closed }))
+        self.event(Event::AttemptEnded(AttemptResult { id, attempt, status, latency: MS, closed }))
     }
 
     /// Requests and sets up a connection; its backend.
--- a/crates/decision/tests/design.rs
+++ b/crates/decision/tests/design.rs
@@ -4,7 +4,7 @@
 use common::*;
 use pierloom_decision::*;
 
-const TICK: u64 = 0;
+const TIMER_ADMISSION: u64 = 0;
 
 /// Runs one tick of 2 s with `n` new clients set up after `delay` each; counts the refused.
 fn tick(d: &mut Driver, first: RequestId, n: u64, delay: Micros) -> u64 {
@@ -20,7 +20,7 @@
         }
         d.now += 2 * S / n;
     }
-    d.event(Event::Timer(TICK));
+    d.event(Event::Timer(TIMER_ADMISSION));
     refusals
 }
 
@@ -64,7 +64,7 @@
     }
     assert!(refusals > 80, "{refusals} refused of 200 within a second");
     for id in 6_000..6_050 {
-        let out = d.request_with(Request { id, returning: true, ..Request::default() });
+        let out = d.request_with(Request { id, reconnecting: true, ..Request::default() });
         assert!(!refused(&out), "a reconnecting client is no newcomer");
     }
     // The crowd ends: at one a second the mean rate falls under the limit in some ticks, and all pass again.
@@ -73,7 +73,7 @@
         let out = d.request(id);
         assert!(id < 7_012 || !refused(&out), "newcomer {id}");
         if id % 2 == 0 {
-            d.event(Event::Timer(TICK));
+            d.event(Event::Timer(TIMER_ADMISSION));
         }
     }
 }
--- a/crates/decision/tests/failures.rs
+++ b/crates/decision/tests/failures.rs
@@ -5,14 +5,14 @@
 use pierloom_decision::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-const HOLD: u64 = 1;
+const TIMER_HELD_REQUESTS: u64 = 1;
 
 #[test]
 fn a_slow_backend_is_spared_and_one_connection_moves() {
     let mut d = Driver::new(settings(), 4);
     let held: Vec<(u64, BackendId)> = (1..200).map(|id| (id, d.connect(id))).collect();
     let slow = held[0].1.clone();
-    let out = d.event(Event::Noted(1, Note::Delay(90 * MS)));
+    let out = d.event(Event::Measured(1, Measurement::Delay(90 * MS)));
     let moved: Vec<_> = out.iter().filter(|a| matches!(a, Action::Move(_))).collect();
     assert_eq!(moved.len(), 1, "we hold enough there to move one for certain");
     for id in 300..340 {
@@ -26,13 +26,13 @@
     let held: BTreeMap<BackendId, u64> = (1..200).map(|id| (d.connect(id), id)).collect();
     for _ in 0..3 {
         for id in held.values() {
-            let out = d.event(Event::Noted(*id, Note::Delay(90 * MS)));
+            let out = d.event(Event::Measured(*id, Measurement::Delay(90 * MS)));
             assert_eq!(out.iter().filter(|a| matches!(a, Action::Move(_))).count(), 1);
         }
         d.now += S;
     }
     let late = d.now + 30 * S;
-    let back = d.request_with(Request { id: 500, returning: true, deadline: late, ..Request::default() });
+    let back = d.request_with(Request { id: 500, reconnecting: true, deadline: late, ..Request::default() });
     assert!(sent(&back).is_none() && !refused(&back), "held while every backend is over its ceiling");
     assert!(refused(&d.request(501)), "with 2 s to its deadline it is answered at once");
 }
@@ -44,7 +44,7 @@
     d.connect(id);
     let mut moves = 0;
     for _ in 0..200 {
-        moves += d.event(Event::Noted(id, Note::Delay(90 * MS))).len();
+        moves += d.event(Event::Measured(id, Measurement::Delay(90 * MS))).len();
         d.now += S;
     }
     assert!((1..=30).contains(&moves), "about six in a hundred notes: {moves}");
@@ -92,7 +92,7 @@
     let held: BTreeMap<BackendId, u64> = (1..40).map(|id| (d.connect(id), id)).collect();
     let slow = held.keys().next().unwrap().clone();
     for _ in 0..20 {
-        d.event(Event::Noted(held[&slow], Note::Delay(90 * MS)));
+        d.event(Event::Measured(held[&slow], Measurement::Delay(90 * MS)));
         d.now += S;
     }
     // Twenty cuts leave 0.6^20 of the load: growth by a twentieth of that a second would never lead back.
@@ -119,7 +119,7 @@
     // Every backend slow for 3 s, a deadline in 2 s: the end of the slow spell would come too late.
     d.list(ListKind::Full, members(2));
     let held: BTreeMap<BackendId, u64> = (10..20).map(|id| (d.connect(id), id)).collect();
-    held.values().for_each(|id| drop(d.event(Event::Noted(*id, Note::Delay(90 * MS)))));
+    held.values().for_each(|id| drop(d.event(Event::Measured(*id, Measurement::Delay(90 * MS)))));
     assert!(refused(&d.request(2)));
 }
 
@@ -128,20 +128,20 @@
     let s = Settings { retry_after: true, max_retry_after: 5 * S, ..settings() };
     let mut d = Driver::new(s, 1);
     d.connect(1);
-    d.event(Event::Noted(1, Note::Delay(90 * MS)));
+    d.event(Event::Measured(1, Measurement::Delay(90 * MS)));
     d.ended(1, 0, Status::Cancelled, true);
     d.now += S;
     let until = d.now + 2 * S + 250 * MS;
     let out = d.request_with(Request { id: 2, deadline: until, ..Request::default() });
     assert_eq!(
         out,
-        [Action::Timer(2 * S, HOLD)],
+        [Action::Timer(2 * S, TIMER_HELD_REQUESTS)],
         "the slow spell ends in 2 s, a connect time-out before the end"
     );
     let out = d.request_with(Request { id: 3, deadline: until - 1, ..Request::default() });
     assert_eq!(told(&out), Some(2 * S), "a moment too late: told when room is expected");
     d.now += 2 * S;
-    assert!(sent(&d.event(Event::Timer(HOLD))).is_some());
+    assert!(sent(&d.event(Event::Timer(TIMER_HELD_REQUESTS))).is_some());
 }
 
 /// Where a client that comes back is sent by fresh relays, of which none knows its first entry.
@@ -154,7 +154,7 @@
             d.request_with(Request { id: 1, key: Some(9), ..Request::default() });
             d.established(1, 0, MS);
         }
-        let back = Request { id: 2, key: Some(9), returning: true, ..Request::default() };
+        let back = Request { id: 2, key: Some(9), reconnecting: true, ..Request::default() };
         *met.entry(sent(&d.request_with(back)).unwrap()).or_default() += 1;
     }
     met
@@ -180,7 +180,7 @@
     let key = |id| Request { id, key: Some(9), ..Request::default() };
     let slow = sent(&d.request_with(key(1))).unwrap();
     d.established(1, 0, MS);
-    d.event(Event::Noted(1, Note::Delay(90 * MS)));
+    d.event(Event::Measured(1, Measurement::Delay(90 * MS)));
     d.ended(1, 0, Status::Cancelled, true);
     assert_ne!(
         sent(&d.request_with(key(2))),
@@ -197,7 +197,7 @@
     let mut d = Driver::new(settings(), 40);
     let held: BTreeMap<BackendId, u64> = (1..4).map(|id| (d.connect(id), id)).collect();
     for id in held.values() {
-        d.event(Event::Noted(*id, Note::Delay(90 * MS)));
+        d.event(Event::Measured(*id, Measurement::Delay(90 * MS)));
     }
     assert!((100..110).all(|id| sent(&d.request(id)).is_some()), "three of three may be chance");
 }
@@ -236,11 +236,11 @@
 fn a_silent_probe_holds_a_request_no_longer_than_a_connect_would() {
     let mut d = prober(12);
     let out = d.request(1);
-    assert!(sent(&out).is_none() && out.contains(&Action::Timer(250 * MS, HOLD)));
+    assert!(sent(&out).is_none() && out.contains(&Action::Timer(250 * MS, TIMER_HELD_REQUESTS)));
     d.now += 125 * MS;
-    assert!(sent(&d.event(Event::Timer(HOLD))).is_none(), "still waiting");
+    assert!(sent(&d.event(Event::Timer(TIMER_HELD_REQUESTS))).is_none(), "still waiting");
     d.now += 125 * MS;
-    assert!(sent(&d.event(Event::Timer(HOLD))).is_some());
+    assert!(sent(&d.event(Event::Timer(TIMER_HELD_REQUESTS))).is_some());
     // Near its deadline a request does not wait at all.
     let late = Request { id: 2, key: Some(77), deadline: d.now + 400 * MS, ..Request::default() };
     assert!(sent(&d.request_with(late)).is_some());
@@ -292,7 +292,7 @@
         met.extend(sent(&d.request_with(hot(id))));
         d.established(id, 0, MS);
         if id == 30 {
-            (1..=30).for_each(|id| drop(d.event(Event::Noted(id, Note::Delay(90 * MS)))));
+            (1..=30).for_each(|id| drop(d.event(Event::Measured(id, Measurement::Delay(90 * MS)))));
         }
     }
     assert!(met.len() > 2, "the pair alone would go on filling");
@@ -319,7 +319,7 @@
 
 #[test]
 fn a_stated_budget_binds_from_the_start_and_its_end_is_answered_at_once() {
-    let budget = Some(Budget { free: 2.0, share: 0.1, span: 5 * S });
+    let budget = Some(RetryBudget { min_retries: 2.0, ratio: 0.1, window: 5 * S });
     let mut d = Driver::new(Settings { max_attempts: 6, budget, ..settings() }, 30);
     let tries = |d: &mut Driver, id| {
         let (mut out, mut attempts) = (d.request(id), 0);
@@ -363,7 +363,14 @@
 /// window, at most.
 #[test]
 fn hundreds_of_relays_together_keep_to_the_cold_budget() {
-    let s = Settings { relays: 300, cold: 10 * S, cold_from: 0.2, fall_multiple: 2.0, fall: S, ..settings() };
+    let s = Settings {
+        proxies: 300,
+        slow_start_duration: 10 * S,
+        slow_start_min_share: 0.2,
+        overload_multiple: 2.0,
+        overload_window: S,
+        ..settings()
+    };
     let mut cold = members(3)[0].clone();
     cold.started = 150 * S;
     let relay = |seed| {
@@ -437,13 +444,13 @@
 fn loads_count_rather_than_connections() {
     let mut d = Driver::new(settings(), 2);
     let heavy = d.connect(1);
-    d.event(Event::Noted(1, Note::Load(900.0)));
+    d.event(Event::Measured(1, Measurement::Load(900.0)));
     let light = d.connect(2);
-    d.event(Event::Noted(2, Note::Load(10.0)));
+    d.event(Event::Measured(2, Measurement::Load(10.0)));
     assert_ne!(heavy, light);
     for id in 3..6 {
         let backend = d.connect(id);
-        d.event(Event::Noted(id, Note::Load(10.0)));
+        d.event(Event::Measured(id, Measurement::Load(10.0)));
         assert_eq!(backend, light);
     }
 }
@@ -468,7 +475,7 @@
     let gap = |relays, failures| -> Micros {
         let mut longest = 0;
         for seed in 0..50 {
-            let s = Settings { ask_for_list: true, ask_within: 10 * S, relays, ..settings() };
+            let s = Settings { ask_for_list: true, ask_within: 10 * S, proxies: relays, ..settings() };
             let mut d = Driver { balancer: Balancer::new(s, seed).unwrap(), now: 100 * S };
             let mut out = d.list(ListKind::Full, members(2));
             for n in 0..=failures {
@@ -500,11 +507,11 @@
     let mut d = Driver::new(settings(), 2);
     assert!(d.ended(9, 0, Status::Ok, true).is_empty());
     assert!(d.established(9, 0, MS).is_empty());
-    assert!(d.event(Event::Noted(9, Note::Load(1.0))).is_empty());
+    assert!(d.event(Event::Measured(9, Measurement::Load(1.0))).is_empty());
     assert!(d.event(Event::ClientGone(9)).is_empty());
     assert!(d.event(Event::Timer(77)).is_empty());
     let open = Request { id: 3, class: usize::MAX, ..Request::default() };
-    assert!(d.event(Event::Open(open, "unheard-of:1".into())).is_empty());
+    assert!(d.event(Event::Resumed(open, "unheard-of:1".into())).is_empty());
     d.request(1);
     assert!(d.ended(1, 5, Status::Error, false).is_empty(), "no such attempt");
     assert!(sent(&d.ended(1, 0, Status::Error, false)).is_some());
@@ -516,7 +523,7 @@
     // of eight entries by chance of a third. A walk over all of them is what once used up a relay's CPU.
     let mut sends = 0;
     for seed in 0..50 {
-        let s = Settings { relays: 20, cold: 10 * S, ..settings() };
+        let s = Settings { proxies: 20, slow_start_duration: 10 * S, ..settings() };
         let mut d = Driver { balancer: Balancer::new(s, seed).unwrap(), now: 100 * S };
         let mut list = members(150);
         list.iter_mut().for_each(|m| m.started = d.now);
@@ -558,7 +565,7 @@
     });
     // Not at each report: those of the next second may be older than what the last moves did.
     assert!(moves.count() >= 10, "a slow one is asked each second and eased");
-    d.event(Event::Noted(1, Note::Delay(10 * MS)));
+    d.event(Event::Measured(1, Measurement::Delay(10 * MS)));
     assert!(!watch(&mut d) && tell(&mut d, 1.2, 300.0).is_empty(), "notes are fresher");
 }
 
@@ -583,15 +590,19 @@
         d.request(id);
         report(&mut d, 0.1, 8.0);
         d.established(id, 0, 20 * MS);
-        d.event(Event::Noted(id, Note::Load(50e3)));
+        d.event(Event::Measured(id, Measurement::Load(50e3)));
     }
     report(&mut d, 0.3, 9.0);
-    assert_eq!(moved(d.event(Event::Noted(2, Note::Load(200e3)))), NONE, "there is room for that");
-    assert_eq!(moved(d.event(Event::Noted(3, Note::Load(900e3)))), [3], "the one that grew, and no other");
+    assert_eq!(moved(d.event(Event::Measured(2, Measurement::Load(200e3)))), NONE, "there is room for that");
+    assert_eq!(
+        moved(d.event(Event::Measured(3, Measurement::Load(900e3)))),
+        [3],
+        "the one that grew, and no other"
+    );
     d.ended(3, 0, Status::Cancelled, true);
-    assert_eq!(moved(d.event(Event::Noted(2, Note::Load(60e3)))), NONE);
+    assert_eq!(moved(d.event(Event::Measured(2, Measurement::Load(60e3)))), NONE);
     // It comes back to where nothing is known of it but its key: it is told to wait, as it would fill the rest.
-    let answer = d.request_with(Request { id: 9, key: Some(3), returning: true, ..Request::default() });
+    let answer = d.request_with(Request { id: 9, key: Some(3), reconnecting: true, ..Request::default() });
     assert!(!answer.iter().any(|a| matches!(a, Action::Send { .. })), "{answer:?}");
     assert!(sent(&d.request(10)).is_some(), "while others are served");
 }
@@ -618,7 +629,7 @@
     let mut d = Driver::new(s, 1);
     let backend = members(1)[0].backend.clone();
     (0..4).for_each(|id| {
-        d.event(Event::Open(Request { id, ..Request::default() }, backend.clone()));
+        d.event(Event::Resumed(Request { id, ..Request::default() }, backend.clone()));
     });
     for load in [0.0, 0.4, 0.4] {
         d.now += S;
--- a/crates/decision/tests/fleet.rs
+++ b/crates/decision/tests/fleet.rs
@@ -12,16 +12,16 @@
     let mut settings = settings();
     settings.classes[0].deadline = 4_800 * MS;
     Settings {
-        relays: RELAYS as u32,
+        proxies: RELAYS as u32,
         max_attempts: 4,
         may_probe: true,
         load_report: Some(0),
         delay_report: Some(1),
         sized_weights: true,
-        cold: 9 * S,
-        cold_from: 0.3,
-        fall_multiple: 4.0,
-        fall: 1_500 * MS,
+        slow_start_duration: 9 * S,
+        slow_start_min_share: 0.3,
+        overload_multiple: 4.0,
+        overload_window: 1_500 * MS,
         ..settings
     }
 }
@@ -30,13 +30,13 @@
 // nearly every client comes back then, and hardly a relay holds a connection that vouches for where its group is.
 #[test]
 fn among_many_relays_a_group_stays_together_though_its_clients_come_back() {
-    let settings = Settings { relays: RELAYS as u32, groups: true, ..settings() };
+    let settings = Settings { proxies: RELAYS as u32, groups: true, ..settings() };
     let mut met: BTreeMap<BackendId, usize> = BTreeMap::new();
     for seed in 0..400 {
         let mut d = Driver { balancer: Balancer::new(settings.clone(), seed).unwrap(), now: 100 * S };
         d.list(ListKind::Full, members(40));
         let request =
-            Request { id: 1, key: Some(seed), group: Some(9), returning: true, ..Request::default() };
+            Request { id: 1, key: Some(seed), group: Some(9), reconnecting: true, ..Request::default() };
         *met.entry(sent(&d.request_with(request)).unwrap()).or_default() += 1;
     }
     let most = met.values().max().unwrap();
@@ -171,7 +171,7 @@
 fn storm_at_cold(settings: Settings, seed: u64, cold: &[usize]) -> BTreeMap<BackendId, Vec<(Micros, f64)>> {
     const PROBE: f64 = 0.06;
     let sized = |started| move |m: Member| Member { weight: 2.0, started, ..m };
-    let relays = u64::from(settings.relays);
+    let relays = u64::from(settings.proxies);
     let relay = |n| {
         let mut d =
             Driver { balancer: Balancer::new(settings.clone(), seed * 1_000 + n).unwrap(), now: 100 * S };
@@ -216,7 +216,7 @@
                     Action::Send { id, backend, .. } => {
                         came.entry(backend).or_default().push((at, 1.0));
                         d.established(id, 0, 20 * MS);
-                        out.extend(d.event(Event::Noted(id, Note::Load(1e6 / 14.0))));
+                        out.extend(d.event(Event::Measured(id, Measurement::Load(1e6 / 14.0))));
                     }
                     _ => {}
                 }
@@ -238,7 +238,7 @@
     for (relays, reports) in [3, 20, 30, 300].into_iter().flat_map(|n| [(n, true), (n, false)]) {
         let column = |i| reports.then_some(i);
         let base = Settings {
-            relays,
+            proxies: relays,
             may_probe: reports,
             load_report: column(0),
             delay_report: column(1),
@@ -268,7 +268,7 @@
 /// after it was made, and a call may wait three of them for its turn.
 #[test]
 fn three_hundred_relays_ask_soon_after_their_start_and_not_in_step() {
-    let settings = Settings { relays: 300, ask_for_list: true, ask_within: 10 * S, ..many() };
+    let settings = Settings { proxies: 300, ask_for_list: true, ask_within: 10 * S, ..many() };
     let first = |seed| {
         let mut d = Driver { balancer: Balancer::new(settings.clone(), seed).unwrap(), now: 100 * S };
         let out = d.list(ListKind::Full, members(8));
@@ -389,7 +389,7 @@
     let mut all = 0;
     for d in &mut relays {
         assert_eq!(placed(d, 1, 7, &Reports::new()).len(), 1);
-        d.event(Event::Noted(1, Note::Delay(MS)));
+        d.event(Event::Measured(1, Measurement::Delay(MS)));
         d.now += S;
         all += placed(d, 2, 977, &busy).len();
     }
--- a/crates/decision/tests/news.rs
+++ b/crates/decision/tests/freshness.rs
@@ -9,7 +9,12 @@
 const MOVED: Micros = 4 * S;
 
 fn settings_that_bind() -> Settings {
-    Settings { binds_after: Some(BINDS), binds_moved: MOVED, ask_for_list: true, ..settings() }
+    Settings {
+        max_endpoints_age: Some(BINDS),
+        max_endpoints_age_after_move: MOVED,
+        ask_for_list: true,
+        ..settings()
+    }
 }
 
 /// A fleet of two whose list was told at 100 s.
@@ -28,7 +33,10 @@
     failed_call(&mut driver, ListKind::Failed);
     assert!(sent(&driver.request(1)).is_some(), "the list holds up to then");
     driver.now += 1;
-    assert!(!driver.balancer.may_begin(driver.now, 1), "nor does what was chosen before and is not written");
+    assert!(
+        !driver.balancer.may_send_attempt(driver.now, 1),
+        "nor does what was chosen before and is not written"
+    );
     let actions = driver.request(2);
     assert!(sent(&actions).is_none() && refused(&actions), "{actions:?}");
     driver.list(ListKind::Delta, Vec::new());
@@ -44,7 +52,7 @@
     let mut driver = fleet();
     let name = members(2)[0].backend.clone();
     driver.now += 4 * S;
-    driver.event(Event::Open(Request { id: 1, ..Request::default() }, name));
+    driver.event(Event::Resumed(Request { id: 1, ..Request::default() }, name));
     driver.connect(2);
     driver.now = 100 * S + BINDS;
     assert!(refused(&driver.request(3)));
@@ -55,7 +63,7 @@
     let mut driver = fleet();
     for _ in 0..20 {
         driver.now += S;
-        failed_call(&mut driver, ListKind::Unreached);
+        failed_call(&mut driver, ListKind::Unreachable);
     }
     assert!(sent(&driver.request(1)).is_some());
     // It is there again, and refuses: from then on what it has binds. The second before the first call that did not
@@ -71,12 +79,12 @@
 // after one that did, it could be reached, and what it had then binds.
 #[test]
 fn time_in_which_the_list_may_have_been_within_reach_counts() {
-    for (kind, at) in [(ListKind::Unreached, 5 * S), (ListKind::Failed, 3 * S)] {
+    for (kind, at) in [(ListKind::Unreachable, 5 * S), (ListKind::Failed, 3 * S)] {
         let mut driver = fleet();
         driver.now += at;
         failed_call(&mut driver, kind);
         driver.now = 100 * S + 5 * S;
-        failed_call(&mut driver, ListKind::Unreached);
+        failed_call(&mut driver, ListKind::Unreachable);
         driver.now = 100 * S + BINDS;
         assert!(refused(&driver.request(1)), "{kind:?}");
     }
@@ -84,7 +92,7 @@
 
 #[test]
 fn where_no_such_time_is_stated_a_list_holds_until_the_next() {
-    let mut driver = Driver::new(Settings { binds_after: None, ..settings_that_bind() }, 2);
+    let mut driver = Driver::new(Settings { max_endpoints_age: None, ..settings_that_bind() }, 2);
     driver.now += 100 * BINDS;
     failed_call(&mut driver, ListKind::Failed);
     assert!(sent(&driver.request(1)).is_some());
@@ -97,7 +105,7 @@
     before.now += 4 * S;
     let mut after = Driver { balancer: Balancer::new(settings_that_bind(), 8).unwrap(), now: before.now };
     after.list(ListKind::Full, members(2));
-    after.event(Event::Inherited(Box::new(before.balancer.experience())));
+    after.event(Event::LearnedState(Box::new(before.balancer.learned_state())));
     after.now = 100 * S + BINDS - 1;
     assert!(sent(&after.request(1)).is_some());
     after.now += 1;
@@ -110,7 +118,7 @@
     let mut driver = fleet();
     driver.now += 5 * S;
     driver.list(ListKind::Delta, Vec::new());
-    driver.list(ListKind::Moved, Vec::new());
+    driver.list(ListKind::DiscoveryMoved, Vec::new());
     driver.now += MOVED - 1;
     driver.list(ListKind::Delta, Vec::new());
     assert!(sent(&driver.request(1)).is_some());
@@ -126,8 +134,8 @@
     let mut driver = fleet();
     let name = members(2)[0].backend.clone();
     driver.now += 4 * S;
-    driver.event(Event::Withheld(name.clone(), true));
-    driver.event(Event::Withheld(name, false));
+    driver.event(Event::Maintenance(name.clone(), true));
+    driver.event(Event::Maintenance(name, false));
     driver.now = 100 * S + BINDS;
     assert!(refused(&driver.request(1)));
 }
--- a/crates/decision/tests/withheld.rs
+++ b/crates/decision/tests/maintenance.rs
@@ -7,7 +7,7 @@
 const NODE: &str = "10.0.0.1:7000";
 
 fn withhold(d: &mut Driver, withheld: bool) -> Vec<Action> {
-    d.event(Event::Withheld(NODE.into(), withheld))
+    d.event(Event::Maintenance(NODE.into(), withheld))
 }
 
 fn moves(actions: &[Action]) -> usize {
@@ -47,7 +47,7 @@
         }
         assert_ne!(&*d.connect(id), NODE, "request {id}");
     }
-    assert_eq!(d.balancer.census(d.now), (2, 1));
+    assert_eq!(d.balancer.backend_counts(d.now), (2, 1));
 }
 
 #[test]
@@ -80,7 +80,7 @@
     withhold(&mut d, false);
     d.now += S;
     assert!((0..40).any(|id| &*d.connect(id) == NODE));
-    assert_eq!(d.balancer.census(d.now), (2, 0));
+    assert_eq!(d.balancer.backend_counts(d.now), (2, 0));
 }
 
 /// Guards against a mark that is lost because it came before the list, as it may after a start.
@@ -96,8 +96,14 @@
 /// one that is overrun, as it was restarted: it counts as cold.
 #[test]
 fn what_was_given_back_is_used_at_once_and_within_its_cold_budget() {
-    let cold = Settings { cold: 9 * S, cold_from: 0.3, fall: 1_500 * MS, fall_multiple: 4.0, ..settings() };
-    let settings = Settings { relays: 3, sized_weights: true, ..cold };
+    let cold = Settings {
+        slow_start_duration: 9 * S,
+        slow_start_min_share: 0.3,
+        overload_window: 1_500 * MS,
+        overload_multiple: 4.0,
+        ..settings()
+    };
+    let settings = Settings { proxies: 3, sized_weights: true, ..cold };
     let mut used_soon = 0;
     for seed in 0..50 {
         let balancer = Balancer::new(settings.clone(), seed).unwrap();
@@ -124,7 +130,7 @@
     withhold(&mut d, true);
     let open = |d: &mut Driver, id| {
         let request = Request { id, key: Some(id), ..Request::default() };
-        d.event(Event::Open(request, NODE.into()))
+        d.event(Event::Resumed(request, NODE.into()))
     };
     let mut out: Vec<Action> = (0..5).flat_map(|id| open(&mut d, id)).collect();
     out.retain(|action| !matches!(action, Action::Send { .. }));
@@ -143,13 +149,13 @@
             d.ended(id, 0, Status::ConnectFailed, false);
         }
     }
-    assert_eq!(d.balancer.census(d.now), (3, 1));
+    assert_eq!(d.balancer.backend_counts(d.now), (3, 1));
     let mut next = Driver::new(settings(), 3);
     next.now = d.now;
-    assert_eq!(next.balancer.census(next.now), (3, 0));
-    next.event(Event::Inherited(Box::new(d.balancer.experience())));
-    assert_eq!(next.balancer.census(next.now), (3, 1));
-    let text = |balancer: &Balancer| format!("{:?}", balancer.experience());
+    assert_eq!(next.balancer.backend_counts(next.now), (3, 0));
+    next.event(Event::LearnedState(Box::new(d.balancer.learned_state())));
+    assert_eq!(next.balancer.backend_counts(next.now), (3, 1));
+    let text = |balancer: &Balancer| format!("{:?}", balancer.learned_state());
     assert_eq!(text(&next.balancer), text(&d.balancer));
 }
 
@@ -157,8 +163,14 @@
 /// from a crash takes what was seen only.
 #[test]
 fn a_backend_started_as_planned_takes_what_its_size_can_do() {
-    let cold = Settings { cold: 9 * S, cold_from: 0.3, fall: 1_500 * MS, fall_multiple: 4.0, ..settings() };
-    let settings = Settings { relays: 3, sized_weights: true, ..cold };
+    let cold = Settings {
+        slow_start_duration: 9 * S,
+        slow_start_min_share: 0.3,
+        overload_window: 1_500 * MS,
+        overload_multiple: 4.0,
+        ..settings()
+    };
+    let settings = Settings { proxies: 3, sized_weights: true, ..cold };
     let (mut planned, mut crashed) = (0, 0);
     for seed in 0..60 {
         let mut d = Driver { balancer: Balancer::new(settings.clone(), seed).unwrap(), now: 100 * S };
@@ -181,9 +193,15 @@
 /// listed, so that what was seen promises more than any backend can take.
 #[test]
 fn a_storm_after_a_crash_does_not_raise_the_cold_budget_over_its_size() {
-    let cold = Settings { cold: 9 * S, cold_from: 0.3, fall: 1_500 * MS, fall_multiple: 4.0, ..settings() };
+    let cold = Settings {
+        slow_start_duration: 9 * S,
+        slow_start_min_share: 0.3,
+        overload_window: 1_500 * MS,
+        overload_multiple: 4.0,
+        ..settings()
+    };
     let mut all = 0;
-    let settings = Settings { relays: 4, sized_weights: true, ..cold };
+    let settings = Settings { proxies: 4, sized_weights: true, ..cold };
     for seed in 0..40 {
         let mut d = Driver { balancer: Balancer::new(settings.clone(), seed).unwrap(), now: 100 * S };
         let sized = |i| Member { weight: 2.0, ..Member::ready(&format!("10.0.0.{i}:7000")) };
--- a/crates/decision/tests/property.rs
+++ b/crates/decision/tests/property.rs
@@ -9,12 +9,12 @@
 const STATUSES: [Status; 8] = [
     Status::Ok,
     Status::Error,
-    Status::Full,
+    Status::Overloaded,
     Status::Timeout,
     Status::ConnectFailed,
     Status::Reset,
     Status::Cancelled,
-    Status::Moot,
+    Status::NotSent,
 ];
 
 struct Open {
@@ -41,7 +41,7 @@
 }
 
 fn effect(class: usize) -> Effect {
-    [Effect::Repeatable, Effect::Keyed(Group::Zone), Effect::Once][class % 3]
+    [Effect::Repeatable, Effect::Keyed(KeyScope::Zone), Effect::Once][class % 3]
 }
 
 impl World {
@@ -72,7 +72,7 @@
                     prop_assert!(!open.out && !open.answered, "two at once, or after the end");
                     prop_assert!(open.attempts < s.max_attempts && *until <= open.deadline && *until > now);
                     prop_assert!(!self.drained.contains(backend), "seen draining, not listed ready since");
-                    prop_assert!(!s.removal_binds || self.states[backend] == MemberState::Ready);
+                    prop_assert!(!s.exclude_removed || self.states[backend] == MemberState::Ready);
                     prop_assert!(self.states.contains_key(backend), "named by a list at some time");
                     prop_assert!(!(open.may_have_run && effect(open.class) == Effect::Once));
                     open.out = true;
@@ -81,10 +81,10 @@
                     if open.attempts > 1 {
                         self.further.push(now);
                         if let Some(budget) = s.budget {
-                            let within = |at: &&Micros| **at + budget.span > now;
+                            let within = |at: &&Micros| **at + budget.window > now;
                             let taken = self.accepted.iter().filter(within).count() as f64;
                             let further = self.further.iter().filter(within).count() as f64;
-                            let allowed = budget.free + budget.share * taken;
+                            let allowed = budget.min_retries + budget.ratio * taken;
                             prop_assert!(further <= allowed, "{further} further, {allowed} allowed");
                         }
                     }
@@ -112,21 +112,22 @@
 
 fn run(seed: u64, steps: &[(u8, u16, u8)]) -> Result<(), TestCaseError> {
     let class = |i| Class {
-        aim: 300_000,
+        setup_target: 300_000,
         deadline: 1_200_000,
-        message_aim: 50_000,
+        message_target: 50_000,
         effect: effect(i),
-        window: 700_000,
+        repeat_window: 700_000,
     };
     let s = Settings {
         classes: (0..3).map(class).collect(),
         ask_for_list: seed.is_multiple_of(2),
-        relays: [1, 3, 400][seed as usize / 2 % 3],
+        proxies: [1, 3, 400][seed as usize / 2 % 3],
         load_report: (seed / 6).is_multiple_of(2).then_some(0),
         max_attempts: 4,
-        removal_binds: (seed / 24).is_multiple_of(2),
+        exclude_removed: (seed / 24).is_multiple_of(2),
         may_probe: (seed / 48).is_multiple_of(2),
-        budget: [None, Some(Budget { free: 1.0, share: 0.1, span: 2 * 1_000_000 })][seed as usize / 12 % 2],
+        budget: [None, Some(RetryBudget { min_retries: 1.0, ratio: 0.1, window: 2 * 1_000_000 })]
+            [seed as usize / 12 % 2],
         groups: true,
         ..Settings::default()
     };
@@ -193,8 +194,8 @@
                 world.accepted.push(now);
                 world.requests.insert(id, open);
                 let (key, group) = (Some(u64::from(extra)), Some(u64::from(extra % 7)));
-                let returning = pick % 3 == 0;
-                let request = Request { id, class, key, group, deadline, returning, ..Request::default() };
+                let reconnecting = pick % 3 == 0;
+                let request = Request { id, class, key, group, deadline, reconnecting, ..Request::default() };
                 events.push(Event::Request(request));
             }
             (4, Some(id)) => {
@@ -209,7 +210,7 @@
                 world.requests.get_mut(&id).unwrap().answered = true;
                 events.push(Event::ClientGone(id));
             }
-            (6, Some(id)) => events.push(Event::Noted(id, Note::Delay(u64::from(extra) * 1_000))),
+            (6, Some(id)) => events.push(Event::Measured(id, Measurement::Delay(u64::from(extra) * 1_000))),
             (8, _) => {
                 if let Some(backend) = world.probes.pop() {
                     let status = STATUSES[usize::from(extra) % STATUSES.len()];
@@ -219,7 +220,7 @@
                     events.push(Event::Probed { backend, status, report });
                 }
             }
-            (9, Some(id)) => events.push(Event::Noted(id, Note::Load(f64::from(pick)))),
+            (9, Some(id)) => events.push(Event::Measured(id, Measurement::Load(f64::from(pick)))),
             (_, Some(id)) => {
                 let open = world.requests.get_mut(&id).unwrap();
                 let status = STATUSES[usize::from(extra) % STATUSES.len()];
@@ -227,12 +228,18 @@
                 open.standing = false;
                 open.may_have_run |= status.may_have_run();
                 open.answered |= status == Status::Ok;
-                if status == Status::Moot && open.attempts > 1 {
+                if status == Status::NotSent && open.attempts > 1 {
                     let at = world.further.iter().rposition(|at| *at == open.sent_at).unwrap();
                     world.further.remove(at);
                 }
                 let (attempt, closed) = (open.attempts - 1, open.answered);
-                events.push(Event::Ended(Ended { id, attempt, status, latency: 5_000, closed }));
+                events.push(Event::AttemptEnded(AttemptResult {
+                    id,
+                    attempt,
+                    status,
+                    latency: 5_000,
+                    closed,
+                }));
             }
             _ => {}
         }
@@ -249,7 +256,13 @@
                 (open.out, open.may_have_run) = (false, true);
                 let (attempt, closed) = (open.attempts - 1, open.answered);
                 let status = Status::Timeout;
-                events.push(Event::Ended(Ended { id, attempt, status, latency: 5_000, closed }));
+                events.push(Event::AttemptEnded(AttemptResult {
+                    id,
+                    attempt,
+                    status,
+                    latency: 5_000,
+                    closed,
+                }));
             }
         }
         for event in events {
--- a/crates/decision/tests/rules.rs
+++ b/crates/decision/tests/rules.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn every_end_of_the_last_attempt_brings_one_final_answer() {
-    for status in [Status::Error, Status::Timeout, Status::ConnectFailed, Status::Reset, Status::Full] {
+    for status in [Status::Error, Status::Timeout, Status::ConnectFailed, Status::Reset, Status::Overloaded] {
         let mut d = Driver::new(Settings { max_attempts: 1, ..settings() }, 3);
         assert!(sent(&d.request(1)).is_some());
         let out = d.ended(1, 0, status, false);
@@ -60,8 +60,8 @@
 #[test]
 fn a_keyed_request_stays_in_its_group_and_window() {
     let mut s = settings();
-    s.classes[0].effect = Effect::Keyed(Group::Zone);
-    s.classes[0].window = S;
+    s.classes[0].effect = Effect::Keyed(KeyScope::Zone);
+    s.classes[0].repeat_window = S;
     let mut list = members(6);
     list.iter_mut().enumerate().for_each(|(i, m)| m.zone = (i % 2) as u16);
     let start = || {
@@ -115,7 +115,7 @@
 fn a_request_held_for_an_event_that_comes_to_nothing_is_answered_before_the_deadline() {
     let mut d = Driver::new(settings(), 1);
     d.connect(1);
-    d.event(Event::Noted(1, Note::Delay(90 * MS)));
+    d.event(Event::Measured(1, Measurement::Delay(90 * MS)));
     d.ended(1, 0, Status::Cancelled, true);
     let out = d.request_with(Request { id: 2, deadline: d.now + 4 * S, ..Request::default() });
     assert_eq!(out, [Action::Timer(3 * S, 1)], "held for the end of the slow spell");
@@ -127,7 +127,14 @@
 
 #[test]
 fn a_cold_backend_gets_no_more_than_our_part_of_its_budget() {
-    let s = Settings { relays: 2, cold: 10 * S, cold_from: 0.2, fall_multiple: 2.0, fall: S, ..settings() };
+    let s = Settings {
+        proxies: 2,
+        slow_start_duration: 10 * S,
+        slow_start_min_share: 0.2,
+        overload_multiple: 2.0,
+        overload_window: S,
+        ..settings()
+    };
     let mut d = Driver::new(s, 4);
     let mut cold = members(4)[0].clone();
     cold.started = d.now + 10 * S;
@@ -197,8 +204,8 @@
 fn a_connection_that_brings_nothing_back_is_moved() {
     let mut d = Driver::new(settings(), 1);
     d.connect(1);
-    assert!(d.event(Event::Noted(1, Note::Silent(S))).is_empty());
-    assert_eq!(d.event(Event::Noted(1, Note::Silent(4 * S))), [Action::Move(1)]);
+    assert!(d.event(Event::Measured(1, Measurement::Unanswered(S))).is_empty());
+    assert_eq!(d.event(Event::Measured(1, Measurement::Unanswered(4 * S))), [Action::Move(1)]);
 }
 
 // Guards against a refusal, which says that nothing ran, given in haste when the process stops: what comes is
@@ -208,13 +215,13 @@
     let refused = |out: &[Action]| matches!(out, [Action::Refuse { .. }]);
     for (effect, ran) in [
         (Effect::Repeatable, true),
-        (Effect::Keyed(Group::All), true),
-        (Effect::Keyed(Group::Cell), false),
+        (Effect::Keyed(KeyScope::All), true),
+        (Effect::Keyed(KeyScope::Cell), false),
         (Effect::Once, false),
     ] {
         let mut settings = settings();
         settings.classes[0].effect = effect;
-        settings.classes[0].window = 5 * S;
+        settings.classes[0].repeat_window = 5 * S;
         let mut d = Driver::new(settings, 3);
         for id in 1..=2 {
             assert!(sent(&d.request(id)).is_some());
@@ -245,20 +252,20 @@
 #[test]
 fn an_attempt_may_be_written_only_while_all_that_it_was_chosen_by_holds() {
     let mut settings = settings();
-    settings.classes[0].effect = Effect::Keyed(Group::All);
-    settings.classes[0].window = 900 * MS;
+    settings.classes[0].effect = Effect::Keyed(KeyScope::All);
+    settings.classes[0].repeat_window = 900 * MS;
     let out = |what: &str, change: &dyn Fn(&mut Driver, BackendId)| {
         let mut d = Driver::new(settings.clone(), 2);
         let backend = sent(&d.request(1)).unwrap();
-        assert!(d.balancer.may_begin(d.now, 1), "{what}: at once");
+        assert!(d.balancer.may_send_attempt(d.now, 1), "{what}: at once");
         change(&mut d, backend);
-        d.balancer.may_begin(d.now, 1)
+        d.balancer.may_send_attempt(d.now, 1)
     };
     let member = |backend: &BackendId, state| vec![Member { state, ..Member::ready(backend) }];
     assert!(out("nothing", &|d, _| d.now += 100 * MS));
     assert!(!out("draining", &|d, at| drop(d.list(ListKind::Delta, member(&at, MemberState::Draining)))));
     assert!(!out("gone", &|d, at| drop(d.list(ListKind::Delta, member(&at, MemberState::Gone)))));
-    assert!(!out("withheld", &|d, at| drop(d.event(Event::Withheld(at, true)))));
+    assert!(!out("withheld", &|d, at| drop(d.event(Event::Maintenance(at, true)))));
     assert!(!out("the client left", &|d, _| drop(d.event(Event::ClientGone(1)))));
     assert!(!out("its time", &|d, _| d.now += 2 * S));
     // The second attempt, the first of which may have run.
--- a/crates/decision/tests/set_up_limit.rs
+++ b/crates/decision/tests/setup_limit.rs
@@ -55,14 +55,14 @@
 // Guards against hundreds of proxies that have just been restarted, each of which tries what fails a few times anew.
 #[test]
 fn a_proxy_that_nothing_succeeded_at_yet_holds_back_from_its_first_failure_on() {
-    let mut d = Driver::new(Settings { max_attempts: 6, relays: 300, ..settings() }, 30);
+    let mut d = Driver::new(Settings { max_attempts: 6, proxies: 300, ..settings() }, 30);
     assert_eq!(tried(&mut d, 1, |_| true), (1, false));
     assert_eq!(tried(&mut d, 2, |_| true), (0, false), "refused at once");
 }
 
 #[test]
 fn the_one_set_up_under_the_limit_has_all_the_time_that_is_left() {
-    let mut d = Driver::new(Settings { max_attempts: 6, relays: 300, ..settings() }, 30);
+    let mut d = Driver::new(Settings { max_attempts: 6, proxies: 300, ..settings() }, 30);
     let time = |d: &mut Driver, id| until(&d.request(id)).map(|until| until - d.now);
     assert!(time(&mut d, 1) < Some(S), "others may follow");
     d.ended(1, 0, Status::Timeout, true);
@@ -129,10 +129,15 @@
         let proxy = |seed| {
             let mut settings = settings();
             settings.classes[0].deadline = 3_200 * MS;
-            settings.classes[0].aim = 800 * MS;
-            let (relays, max_attempts) = (PROXIES as u32, 6);
-            let settings =
-                Settings { relays, max_attempts, retry_after: true, max_retry_after: 1_500 * MS, ..settings };
+            settings.classes[0].setup_target = 800 * MS;
+            let (proxies, max_attempts) = (PROXIES as u32, 6);
+            let settings = Settings {
+                proxies,
+                max_attempts,
+                retry_after: true,
+                max_retry_after: 1_500 * MS,
+                ..settings
+            };
             let mut d = Driver { balancer: Balancer::new(settings, seed).unwrap(), now: 100 * S };
             let zoned = |(i, member): (usize, Member)| Member { zone: (i % 2) as u16, ..member };
             d.list(ListKind::Full, members(20).into_iter().enumerate().map(zoned).collect());
@@ -178,7 +183,10 @@
     fn over(&mut self, set_up: &SetUp, status: Status) {
         let (proxy, id) = (set_up.proxy, set_up.client as RequestId);
         let attempt = self.attempts[&(proxy, id)] - 1;
-        self.event(proxy, Event::Ended(Ended { id, attempt, status, latency: MS, closed: false }));
+        self.event(
+            proxy,
+            Event::AttemptEnded(AttemptResult { id, attempt, status, latency: MS, closed: false }),
+        );
     }
 
     /// Four of five clients heed the wait that they are told.
--- a/crates/decision/tests/starts.rs
+++ b/crates/decision/tests/starts.rs
@@ -9,7 +9,8 @@
 
 /// Three backends, a list that was last told at 140 s, and at 141 s a fourth one that is named with that start.
 fn fleet(started: Micros) -> Driver {
-    let settings = Settings { relays: 2, cold: COLD, cold_from: 0.3, ..settings() };
+    let settings =
+        Settings { proxies: 2, slow_start_duration: COLD, slow_start_min_share: 0.3, ..settings() };
     let mut d = Driver { balancer: Balancer::new(settings, 7).unwrap(), now: 2 * HOUR + 100 * S };
     d.list(ListKind::Full, members(3));
     for id in 1..=200 {
@@ -72,15 +73,15 @@
 #[test]
 fn what_another_process_learned_keeps_its_age_whatever_its_clock_says() {
     for clocks_apart in [-(HOUR as i64), 0, HOUR as i64] {
-        let settings = Settings { binds_after: Some(6 * S), ask_for_list: true, ..settings() };
+        let settings = Settings { max_endpoints_age: Some(6 * S), ask_for_list: true, ..settings() };
         let mut before = Driver { balancer: Balancer::new(settings.clone(), 7).unwrap(), now: 10 * HOUR };
         before.list(ListKind::Full, members(3));
         before.now += 5 * S;
-        let learned = before.balancer.experience().moved(clocks_apart);
+        let learned = before.balancer.learned_state().moved(clocks_apart);
         let now = (before.now as i64 + clocks_apart) as Micros;
         let mut after = Driver { balancer: Balancer::new(settings, 8).unwrap(), now };
         after.list(ListKind::Full, members(3));
-        after.event(Event::Inherited(Box::new(learned)));
+        after.event(Event::LearnedState(Box::new(learned)));
         assert!(sent(&after.request(1)).is_some(), "{clocks_apart}: the list is five seconds old");
         after.now += S;
         assert!(refused(&after.request(2)), "{clocks_apart}: it is six seconds old");
--- a/crates/decision/tests/testimony.rs
+++ b/crates/decision/tests/unverified_backends.rs
@@ -7,7 +7,7 @@
 
 /// Only draining binds, and nothing is probed.
 fn free() -> Settings {
-    Settings { removal_binds: false, ..settings() }
+    Settings { exclude_removed: false, ..settings() }
 }
 
 fn stated(backend: &BackendId, state: MemberState) -> Member {
@@ -191,7 +191,13 @@
 
 #[test]
 fn an_error_does_not_make_a_warm_backend_cold_and_the_loss_of_all_connections_does() {
-    let s = Settings { cold: 20 * S, cold_from: 0.2, fall: S, relays: 50, ..settings() };
+    let s = Settings {
+        slow_start_duration: 20 * S,
+        slow_start_min_share: 0.2,
+        overload_window: S,
+        proxies: 50,
+        ..settings()
+    };
     let share = |lost: bool| {
         let mut d = Driver::new(s.clone(), 4);
         let by = connect_all(&mut d, 1..60);
@@ -324,7 +330,13 @@
 
 #[test]
 fn a_cell_that_restarts_at_once_is_met_cold_before_the_list_tells() {
-    let s = Settings { relays: 50, cold: 20 * S, cold_from: 0.2, fall: S, ..settings() };
+    let s = Settings {
+        proxies: 50,
+        slow_start_duration: 20 * S,
+        slow_start_min_share: 0.2,
+        overload_window: S,
+        ..settings()
+    };
     let mut d = Driver::new(s, 12);
     let by = connect_all(&mut d, 1..240);
     d.now += 10 * S;
@@ -336,7 +348,7 @@
     d.now += 35 * S;
     let mut met: BTreeMap<BackendId, u32> = BTreeMap::new();
     for id in 1_000..1_240 {
-        let out = d.request_with(Request { id, key: Some(id), returning: true, ..Request::default() });
+        let out = d.request_with(Request { id, key: Some(id), reconnecting: true, ..Request::default() });
         if let Some(backend) = sent(&out) {
             d.established(id, 0, MS);
             *met.entry(backend).or_default() += 1;
@@ -350,7 +362,7 @@
 
 #[test]
 fn a_relay_that_starts_with_its_last_list_uses_all_of_it_at_once() {
-    let mut d = Driver::new(Settings { ask_for_list: true, removal_binds: false, ..settings() }, 12);
+    let mut d = Driver::new(Settings { ask_for_list: true, exclude_removed: false, ..settings() }, 12);
     let met = connect_all(&mut d, 1..200);
     assert_eq!(met.len(), 12, "nobody of the first list is unproven");
     assert!(met.values().all(|ids| ids.len() < 40), "and nobody is crowded");
--- a/crates/lab/src/defects.rs
+++ b/crates/lab/src/defects.rs
@@ -163,10 +163,12 @@
                 out.extend(due.map(|at| self.late.swap_remove(at).1));
                 return;
             }
-            Event::Noted(_, pierloom_decision::Note::Silent(_)) if self.defect == Defect::SilenceIgnored => {
+            Event::Measured(_, pierloom_decision::Measurement::Unanswered(_))
+                if self.defect == Defect::SilenceIgnored =>
+            {
                 return;
             }
-            Event::Noted(..) if self.defect == Defect::PanicAtNote => {
+            Event::Measured(..) if self.defect == Defect::PanicAtNote => {
                 self.notes += 1;
                 assert!(!self.notes.is_multiple_of(50), "planted");
                 event
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -50,12 +50,12 @@
     /// node says so.
     pub fn status(&self) -> Status {
         match (self.reach, &self.cause) {
-            (_, Cause::Said(Reply::Busy)) => Status::Full,
+            (_, Cause::Said(Reply::Busy)) => Status::Overloaded,
             (_, Cause::Said(Reply::Bye)) => Status::Ok,
             (_, Cause::Said(Reply::Move)) => Status::Cancelled,
             (_, Cause::Said(_)) => Status::Error,
             (Reach::NotConnected | Reach::Unwritten, Cause::Left | Cause::Barred | Cause::Unable) => {
-                Status::Moot
+                Status::NotSent
             }
             (_, Cause::Left | Cause::Barred | Cause::Unable) => Status::Cancelled,
             (Reach::NotConnected | Reach::Unwritten, _) => Status::ConnectFailed,
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -98,8 +98,8 @@
         .map_err(|e| format!("config {}: {e}", path.display()).replace('\n', " "))?;
     let (mut settings, names) = wire::settings_value(file.settings)?;
     // An agent that pushes stands beside the proxy, and what it has not got is not told.
-    settings.binds_after = settings.ask_for_list.then_some(discovery::BINDS);
-    settings.binds_moved = discovery::BINDS_MOVED;
+    settings.max_endpoints_age = settings.ask_for_list.then_some(discovery::BINDS);
+    settings.max_endpoints_age_after_move = discovery::BINDS_MOVED;
     let seed = u64::from_str_radix(&file.seed, 16).map_err(|_| format!("seed: {:?} is no hex", file.seed))?;
     // What the module itself would refuse is said here, before anything is opened.
     Balancer::new(settings.clone(), seed).map_err(|e| e.to_string())?;
--- a/crates/proxy/src/core.rs
+++ b/crates/proxy/src/core.rs
@@ -6,7 +6,8 @@
 use crate::ledger::{Cause, Ledger};
 use crate::relay::Standing;
 use pierloom_decision::{
-    Action, BackendId, Balancer, Ended, Event, Experience, Micros, Note, RequestId, Settings, Status,
+    Action, AttemptResult, BackendId, Balancer, Event, LearnedState, Measurement, Micros, RequestId,
+    Settings, Status,
 };
 use pierloom_host::Host;
 use std::cell::{Cell, RefCell};
@@ -242,7 +243,7 @@
 
     /// Reports how long a message took at a backend, as often as the module expects to hear of it.
     pub fn note_delay(&self, id: RequestId, node: &BackendId, delay: Micros) {
-        let aims = self.settings.classes.iter().map(|class| class.message_aim);
+        let aims = self.settings.classes.iter().map(|class| class.message_target);
         let Some(aim) = aims.filter(|&aim| aim > 0).min() else { return };
         let (now, slow) = (self.now(), delay > aim / NOTED_PART);
         {
@@ -253,7 +254,7 @@
             }
             *last = Noted { at: now, slow };
         }
-        self.tell(Event::Noted(id, Note::Delay(delay)));
+        self.tell(Event::Measured(id, Measurement::Delay(delay)));
     }
 
     /// There is a process after this one, which takes what is handed on, or (none) there is none any more.
@@ -284,7 +285,7 @@
 
     /// The figures as staff read them, true of this moment.
     pub fn figures_text(&self) -> String {
-        let (listed, avoided) = self.module.borrow().books().census(self.now());
+        let (listed, avoided) = self.module.borrow().books().backend_counts(self.now());
         self.figures.text(Now { jobs: self.jobs(), listed, avoided })
     }
 
@@ -295,12 +296,12 @@
 
     /// The backends that staff withhold.
     pub fn withheld(&self) -> Vec<String> {
-        self.module.borrow().books().withheld().map(str::to_string).collect()
+        self.module.borrow().books().backends_in_maintenance().map(str::to_string).collect()
     }
 
     /// What the module has learned.
-    pub fn experience(&self) -> Experience {
-        self.module.borrow().books().experience()
+    pub fn learned_state(&self) -> LearnedState {
+        self.module.borrow().books().learned_state()
     }
 
     /// The jobs whose connections stand.
@@ -309,8 +310,8 @@
     }
 
     /// Whether the attempt of that job that is out may still be written to its backend.
-    pub fn may_begin(&self, id: RequestId) -> bool {
-        self.module.borrow().books().may_begin(self.now(), id)
+    pub fn may_send_attempt(&self, id: RequestId) -> bool {
+        self.module.borrow().books().may_send_attempt(self.now(), id)
     }
 
     /// Begins nothing more; the module answers whoever waits.
@@ -422,8 +423,8 @@
         }
         let (now, closed) = (self.core.now(), self.answered);
         let attempt = self.attempts - 1;
-        let ended = Ended { id: self.id, attempt, status, latency: now - sent, closed };
-        self.core.tell(Event::Ended(ended));
+        let ended = AttemptResult { id: self.id, attempt, status, latency: now - sent, closed };
+        self.core.tell(Event::AttemptEnded(ended));
     }
 
     /// The final answer, which is the module's, is known.
--- a/crates/proxy/src/front/lines.rs
+++ b/crates/proxy/src/front/lines.rs
@@ -49,8 +49,8 @@
             class: self.class,
             key: key_hash(&self.key),
             group: self.field("g").and_then(key_hash),
-            hint: self.hint,
-            returning: self.field("again") == Some("1"),
+            load_hint: self.hint,
+            reconnecting: self.field("again") == Some("1"),
             ..Request::default()
         }
     }
--- a/crates/proxy/src/job.rs
+++ b/crates/proxy/src/job.rs
@@ -52,7 +52,7 @@
                 // for repeats or of the time that is left.
                 let line = || {
                     broke_off.set(broken_off(&client));
-                    let goes = broke_off.get().is_none() && core.may_begin(id);
+                    let goes = broke_off.get().is_none() && core.may_send_attempt(id);
                     goes.then(|| opening.for_node(until.saturating_sub(core.now())))
                 };
                 let attempt = tokio::select! {
@@ -138,7 +138,7 @@
             class: request.class,
             key: request.key,
             group: request.group,
-            load: seat.load().or(request.hint),
+            load: seat.load().or(request.load_hint),
         }
     }
 }
@@ -147,10 +147,12 @@
 pub fn adopt(core: &Rc<Core>, front: Rc<dyn Front>, connection: Connection, standing: Standing) -> bool {
     let Connection { identity, node, class, key, group, load } = connection;
     let Some(mut seat) = Seat::take(core, &identity, class) else { return false };
-    let (node, request) =
-        (BackendId::from(node), Request { id: seat.id, class, key, group, hint: load, ..Request::default() });
+    let (node, request) = (
+        BackendId::from(node),
+        Request { id: seat.id, class, key, group, load_hint: load, ..Request::default() },
+    );
     seat.begin();
-    core.tell(Event::Open(request.clone(), node.clone()));
+    core.tell(Event::Resumed(request.clone(), node.clone()));
     seat.adopted();
     let held = core.clone();
     core.host.spawn(async move { stand(&held, &*front, seat, node, request, standing, Vec::new()).await });
@@ -198,7 +200,7 @@
         }
     };
     seat.begin();
-    core.tell(Event::Open(request.clone(), node.clone()));
+    core.tell(Event::Resumed(request.clone(), node.clone()));
     seat.hold();
     let (standing, behind) = Standing::fresh(client, link);
     stand(core, front, seat, node, request, standing, behind).await;
--- a/crates/proxy/src/ledger.rs
+++ b/crates/proxy/src/ledger.rs
@@ -2,7 +2,7 @@
 //! of a whole fleet can be summed second by second (`pierloom-lab ledger`), where one proxy sees too little.
 
 use pierloom_decision::{
-    Action, BackendId, Ended, Event, ListKind, MemberState, Micros, Note, Settings, Status,
+    Action, AttemptResult, BackendId, Event, ListKind, Measurement, MemberState, Micros, Settings, Status,
 };
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -32,7 +32,7 @@
     pub fn new(settings: &Settings, now: Micros) -> Self {
         Ledger {
             zone: settings.zone,
-            cold: settings.cold,
+            cold: settings.slow_start_duration,
             second: now / SECOND,
             counts: BTreeMap::new(),
             nodes: BTreeMap::new(),
@@ -64,7 +64,7 @@
     pub fn told(&mut self, now: Micros, event: &Event) {
         match event {
             Event::Request(_) => self.add("jobs", 1),
-            Event::Open(..) => {
+            Event::Resumed(..) => {
                 self.standing += 1;
                 self.add("resumed", 1);
             }
@@ -73,7 +73,7 @@
                 self.add("up", 1);
                 self.add("up_wait_ms", latency / 1_000);
             }
-            Event::Ended(ended) => self.ended(ended),
+            Event::AttemptEnded(ended) => self.ended(ended),
             Event::ClientGone(_) => self.add("left", 1),
             Event::Probed { status: Status::Ok, .. } => self.add("probes_answered", 1),
             Event::Probed { .. } => self.add("probes_failed", 1),
@@ -82,8 +82,8 @@
                     ListKind::Full => "lists_whole",
                     ListKind::Delta => "lists_changed",
                     ListKind::Failed => "lists_failed",
-                    ListKind::Unreached => "lists_unreached",
-                    ListKind::Moved => "lists_moved",
+                    ListKind::Unreachable => "lists_unreached",
+                    ListKind::DiscoveryMoved => "lists_moved",
                 };
                 self.add(name, 1);
                 if !matches!(kind, ListKind::Full | ListKind::Delta) {
@@ -95,14 +95,14 @@
                     self.nodes.insert(member.backend.clone(), node);
                 }
             }
-            Event::Withheld(_, true) => self.add("withheld", 1),
-            Event::Withheld(_, false) => self.add("given_back", 1),
-            Event::Stopping | Event::Inherited(_) | Event::Noted(..) | Event::Timer(_) => {}
+            Event::Maintenance(_, true) => self.add("withheld", 1),
+            Event::Maintenance(_, false) => self.add("given_back", 1),
+            Event::Stopping | Event::LearnedState(_) | Event::Measured(..) | Event::Timer(_) => {}
         }
     }
 
     /// Counts the end of a claim, or of the connection that it had become.
-    fn ended(&mut self, ended: &Ended) {
+    fn ended(&mut self, ended: &AttemptResult) {
         if ended.closed {
             self.standing = self.standing.saturating_sub(1);
         }
@@ -110,7 +110,7 @@
             match (ended.closed, ended.status) {
                 (true, Status::Reset) => "broken",
                 (true, _) => "over",
-                (false, Status::Full) => "claims_full",
+                (false, Status::Overloaded) => "claims_full",
                 (false, Status::Error) => "claims_error",
                 (false, Status::Timeout) => "claims_late",
                 (false, Status::ConnectFailed) => "claims_unconnected",
@@ -159,9 +159,9 @@
 impl Cause {
     pub fn of(event: &Event) -> Self {
         match event {
-            Event::Noted(_, Note::Load(_)) => Cause::Load,
-            Event::Noted(_, Note::Delay(_)) => Cause::Delay,
-            Event::Noted(_, Note::Silent(_)) => Cause::Silence,
+            Event::Measured(_, Measurement::Load(_)) => Cause::Load,
+            Event::Measured(_, Measurement::Delay(_)) => Cause::Delay,
+            Event::Measured(_, Measurement::Unanswered(_)) => Cause::Silence,
             Event::Probed { .. } => Cause::Report,
             Event::Established { .. } => Cause::SetUp,
             _ => Cause::Other,
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -99,7 +99,7 @@
     let reserved = config.console.map_or(0, |_| console::places(config.sockets));
     let (socket, before) = match inherited {
         Some(inherited) => {
-            core.tell(Event::Inherited(Box::new(inherited.learned)));
+            core.tell(Event::LearnedState(Box::new(inherited.learned)));
             (inherited.listener, Some((inherited.pass, inherited.jobs)))
         }
         None => (Listener::bind(&host, config.listen, config.console.is_some())?, None),
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -4,7 +4,7 @@
 use crate::core::{Core, Order, Seat};
 use crate::front::{Front, Reply};
 use crate::stream::{ENDING, LONGEST_LINE, answer};
-use pierloom_decision::{BackendId, ClockOffset, Event, Micros, Note, Status, moved};
+use pierloom_decision::{BackendId, ClockOffset, Event, Measurement, Micros, Status, moved};
 use pierloom_host::{Interest, TcpStream};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
@@ -171,7 +171,7 @@
             }
         });
         if let Some(load) = load {
-            self.core.tell(Event::Noted(self.seat.id, Note::Load(load)));
+            self.core.tell(Event::Measured(self.seat.id, Measurement::Load(load)));
         }
         if let Some(delay) = delay {
             self.core.note_delay(self.seat.id, self.node_id, delay);
@@ -185,7 +185,7 @@
         self.next_silent = now + SILENT_STEP;
         let silent_for = now.saturating_sub(since);
         self.core.note_delay(self.seat.id, self.node_id, silent_for);
-        self.core.tell(Event::Noted(self.seat.id, Note::Silent(silent_for)));
+        self.core.tell(Event::Measured(self.seat.id, Measurement::Unanswered(silent_for)));
     }
 
     /// When the relay has to look again though nothing comes.
--- a/crates/proxy/src/source/discovery.rs
+++ b/crates/proxy/src/source/discovery.rs
@@ -349,12 +349,12 @@
             Came::Failure(Failure { reached, why }) => {
                 tracing::warn!(target: "machine_list", "a call failed: {why}");
                 core.forget_asked();
-                let kind = if reached { ListKind::Failed } else { ListKind::Unreached };
+                let kind = if reached { ListKind::Failed } else { ListKind::Unreachable };
                 core.tell(Event::Members { kind, members: [].into() });
                 follower.pause().await
             }
             Came::Moved => {
-                core.tell(Event::Members { kind: ListKind::Moved, members: [].into() });
+                core.tell(Event::Members { kind: ListKind::DiscoveryMoved, members: [].into() });
                 (follower.from, follower.kept) = (None, None);
                 follower.discovery = *follower.moves.borrow_and_update();
                 follower.call().await
--- a/crates/proxy/src/upgrade.rs
+++ b/crates/proxy/src/upgrade.rs
@@ -7,7 +7,7 @@
 use crate::listener::Listener;
 use crate::relay::{Flow, Standing};
 use crate::source::discovery::Roster;
-use pierloom_decision::{BackendId, ClockOffset, Event, Experience, Micros};
+use pierloom_decision::{BackendId, ClockOffset, Event, LearnedState, Micros};
 use pierloom_host::{Pass, Socket, TcpListener};
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
@@ -63,7 +63,7 @@
     withheld: Vec<String>,
     /// The machine list as it stands.
     list: Roster,
-    learned: Experience,
+    learned: LearnedState,
     jobs: usize,
 }
 
@@ -71,7 +71,7 @@
 pub struct Inherited {
     pub listener: TcpListener,
     pub list: Roster,
-    pub learned: Experience,
+    pub learned: LearnedState,
     pub jobs: usize,
     pub pass: Pass,
 }
@@ -194,7 +194,7 @@
     }
 
     fn enter(&self, node: &str, withheld: bool) {
-        self.core.tell(Event::Withheld(BackendId::from(node), withheld));
+        self.core.tell(Event::Maintenance(BackendId::from(node), withheld));
     }
 
     /// Has a backend withheld, or gives it back. It is in force, told to the process beside this one and written down
@@ -330,7 +330,7 @@
             clock: Some(self.core.now()),
             withheld: self.core.withheld(),
             list: list.borrow().clone(),
-            learned: self.core.experience(),
+            learned: self.core.learned_state(),
             jobs: self.core.jobs(),
         };
         let (sender, mut handed) = unbounded_channel::<HandedOn>();
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -239,9 +239,9 @@
     for (i, class) in wire.classes.iter().enumerate() {
         names.classes.insert(class.name.clone(), i);
         let group = match class.group.as_deref() {
-            None | Some("all") => Group::All,
-            Some("zone") => Group::Zone,
-            Some("cell") => Group::Cell,
+            None | Some("all") => KeyScope::All,
+            Some("zone") => KeyScope::Zone,
+            Some("cell") => KeyScope::Cell,
             Some(other) => return Err(format!("INIT settings: classes[].group {other:?}")),
         };
         let effect = match class.effect.as_deref() {
@@ -253,49 +253,49 @@
         };
         let message_aim = wire.family_info.message_aim.get(i).copied().flatten().unwrap_or(0.0);
         classes.push(Class {
-            aim: micros(class.target),
+            setup_target: micros(class.target),
             deadline: micros(class.deadline),
-            message_aim: micros(message_aim),
+            message_target: micros(message_aim),
             effect,
-            window: micros(class.window),
+            repeat_window: micros(class.window),
         });
     }
     let base = Settings::default();
     let stated = contract.extra_free.is_some() || contract.repeat_ratio.is_some();
-    let budget = stated.then(|| Budget {
-        free: contract.extra_free.unwrap_or(0.0),
-        share: contract.repeat_ratio.unwrap_or(0.0),
-        span: contract.ratio_span.map_or(BUDGET_SPAN, micros),
+    let budget = stated.then(|| RetryBudget {
+        min_retries: contract.extra_free.unwrap_or(0.0),
+        ratio: contract.repeat_ratio.unwrap_or(0.0),
+        window: contract.ratio_span.map_or(BUDGET_SPAN, micros),
     });
     let or = |value: Option<f64>, default: Micros| value.map_or(default, micros);
     let column =
         |name: &str| wire.feedback.columns.iter().position(|c| c == name).filter(|_| wire.bounds.may_probe);
     let settings = Settings {
-        relays,
+        proxies: relays,
         zone,
         classes,
         max_attempts: wire.bounds.max_attempts.unwrap_or(base.max_attempts),
         budget,
-        removal_binds: !wire.contract.removal_not_binding,
+        exclude_removed: !wire.contract.removal_not_binding,
         connect_timeout: or(wire.bounds.connect_timeout, base.connect_timeout),
         retry_after: wire.bounds.retry_after,
         max_retry_after: micros(wire.bounds.max_retry_after),
         ask_for_list: wire.membership_mode == "ask",
         ask_within: or(wire.contract.ask_within, base.ask_within),
         // Figures of the real proxies' protocol, which the wire does not have.
-        binds_after: None,
-        binds_moved: 0,
+        max_endpoints_age: None,
+        max_endpoints_age_after_move: 0,
         sized_weights: matches!(wire.weights.as_str(), "nominal" | "rough" | "live"),
         live_weights: wire.weights == "live",
         groups: wire.family_info.groups,
         may_probe: wire.bounds.may_probe,
         load_report: column("x0"),
         delay_report: column("svc_ms"),
-        cold_from: wire.contract.cold_from.unwrap_or(base.cold_from),
-        cold: or(wire.contract.cold, base.cold),
-        fall_multiple: wire.contract.fall_multiple.unwrap_or(base.fall_multiple),
+        slow_start_min_share: wire.contract.cold_from.unwrap_or(base.slow_start_min_share),
+        slow_start_duration: or(wire.contract.cold, base.slow_start_duration),
+        overload_multiple: wire.contract.fall_multiple.unwrap_or(base.overload_multiple),
         cross_zone_price: wire.penalties.cross_zone,
-        fall: or(wire.contract.fall, base.fall),
+        overload_window: or(wire.contract.fall, base.overload_window),
     };
     settings.check().map_err(|e| format!("INIT {e}"))?;
     Ok((settings, names))
@@ -356,12 +356,12 @@
         Ok(match part {
             "200" => Status::Ok,
             "502" => Status::Error,
-            "429" => Status::Full,
+            "429" => Status::Overloaded,
             "408" => Status::Timeout,
             "521" => Status::ConnectFailed,
             "520" => Status::Reset,
             "444" => Status::Cancelled,
-            "409" => Status::Moot,
+            "409" => Status::NotSent,
             _ => return Err(self.bad(field, part)),
         })
     }
@@ -433,7 +433,7 @@
                 _ => return Err(fields.bad("mode", mode)),
             };
             let page = match kind {
-                ListKind::Failed | ListKind::Unreached | ListKind::Moved => None,
+                ListKind::Failed | ListKind::Unreachable | ListKind::DiscoveryMoved => None,
                 _ => Some(list.parse().map_err(|_| fields.bad("list", list))?),
             };
             fields.end(Line::Roster(kind, page))
@@ -486,9 +486,9 @@
         key: key_hash(item),
         group: key_hash(channel),
         deadline,
-        hint: hint.filter(|_| bits & 1 != 0).map(|seconds| seconds * 1e6),
+        load_hint: hint.filter(|_| bits & 1 != 0).map(|seconds| seconds * 1e6),
         mid_flow: bits & 8 != 0,
-        returning: bits & 16 != 0,
+        reconnecting: bits & 16 != 0,
     })
 }
 
@@ -499,7 +499,7 @@
         "ACCEPT" => Event::Request(request(&mut fields, names)?),
         "OPEN" => {
             let request = request(&mut fields, names)?;
-            Event::Open(request, fields.text("backend")?.into())
+            Event::Resumed(request, fields.text("backend")?.into())
         }
         "FIRST_BYTE" => {
             let id = fields.integer("ref")?;
@@ -515,7 +515,7 @@
             let status = fields.status("how")?;
             let attempt = fields.integer("round-no")? as u32;
             fields.row("pressure")?;
-            Event::Ended(Ended { id, attempt, status, latency, closed })
+            Event::AttemptEnded(AttemptResult { id, attempt, status, latency, closed })
         }
         "GONE" => Event::ClientGone(fields.integer("ref")?),
         "DUE" => Event::Timer(fields.integer("label")?),
@@ -526,8 +526,8 @@
             let topic = fields.integer("topic")?;
             let level = fields.number("level")?;
             match topic {
-                1 => Event::Noted(id, Note::Load(level)),
-                2 => Event::Noted(id, Note::Delay(micros(level / 1e3))),
+                1 => Event::Measured(id, Measurement::Load(level)),
+                2 => Event::Measured(id, Measurement::Delay(micros(level / 1e3))),
                 _ => return fields.end(None),
             }
         }
--- a/crates/wire/tests/wire.rs
+++ b/crates/wire/tests/wire.rs
@@ -28,10 +28,10 @@
 #[test]
 fn settings_keep_what_is_stated_and_default_the_rest() {
     let (settings, _) = wire::settings(&one_line()).unwrap();
-    assert_eq!(settings.relays, 2);
+    assert_eq!(settings.proxies, 2);
     assert_eq!(settings.classes[0].deadline, 1_200_000);
     assert_eq!(settings.connect_timeout, 250_000);
-    assert_eq!(settings.cold, Settings::default().cold);
+    assert_eq!(settings.slow_start_duration, Settings::default().slow_start_duration);
     assert!(!settings.ask_for_list && settings.sized_weights && settings.retry_after);
 }
 
@@ -49,10 +49,10 @@
     let contract = r#""contract": {"extra-free": 3, "repeat-ratio": 0.03, "ratio-span": 5.0,
         "removal-not-binding": true}, "goal": {"nines-part": 0.2, "top-nines": 2.0}"#;
     let (settings, _) = wire::settings(&with(contract)).unwrap();
-    assert_eq!(settings.budget, Some(Budget { free: 3.0, share: 0.03, span: 5_000_000 }));
-    assert!(!settings.removal_binds);
+    assert_eq!(settings.budget, Some(RetryBudget { min_retries: 3.0, ratio: 0.03, window: 5_000_000 }));
+    assert!(!settings.exclude_removed);
     let (settings, _) = wire::settings(&with(r#""contract": {"extra-free": null}"#)).unwrap();
-    assert_eq!((settings.budget, settings.removal_binds), (None, true));
+    assert_eq!((settings.budget, settings.exclude_removed), (None, true));
     for (bad, field) in [
         (r#""contract": {"extra-free": -1}"#, "contract.extra-free"),
         (r#""contract": {"repeat-ratio": "few"}"#, "contract.repeat-ratio"),
@@ -71,9 +71,9 @@
 fn settings_out_of_range_are_refused_and_the_field_is_named() {
     let base = Settings::default();
     let zero = Class { deadline: 0, ..base.classes[0].clone() };
-    let budget = |free, share, span| Some(Budget { free, share, span });
+    let budget = |min_retries, ratio, window| Some(RetryBudget { min_retries, ratio, window });
     for (bad, field) in [
-        (Settings { relays: 0, ..base.clone() }, "relays"),
+        (Settings { proxies: 0, ..base.clone() }, "relays"),
         (Settings { classes: Vec::new(), ..base.clone() }, "classes"),
         (Settings { classes: vec![zero], ..base.clone() }, "classes[].deadline"),
         (Settings { max_attempts: 0, ..base.clone() }, "max_attempts"),
@@ -81,10 +81,10 @@
         (Settings { budget: budget(0.0, f64::NAN, 1), ..base.clone() }, "budget"),
         (Settings { budget: budget(0.0, 0.0, 0), ..base.clone() }, "budget"),
         (Settings { connect_timeout: 0, ..base.clone() }, "connect_timeout"),
-        (Settings { cold_from: 1.5, ..base.clone() }, "cold_from"),
+        (Settings { slow_start_min_share: 1.5, ..base.clone() }, "cold_from"),
         (Settings { cross_zone_price: -0.1, ..base.clone() }, "cross_zone_price"),
-        (Settings { fall_multiple: 0.0, ..base.clone() }, "fall_multiple"),
-        (Settings { fall: 0, ..base.clone() }, "fall"),
+        (Settings { overload_multiple: 0.0, ..base.clone() }, "fall_multiple"),
+        (Settings { overload_window: 0, ..base.clone() }, "fall"),
     ] {
         assert_eq!(Balancer::new(bad, 1).err(), Some(InvalidSettings { field }));
     }
@@ -107,11 +107,11 @@
     let event = wire::event("ACCEPT 305 feed - user:k 8.65225 0.012 tpl/c 25", &names).unwrap();
     let Some(Event::Request(request)) = event else { panic!("{event:?}") };
     assert_eq!((request.id, request.class, request.deadline), (305, 0, 8_652_250));
-    assert_eq!(request.hint, Some(12_000.0));
-    assert!(request.mid_flow && request.returning);
+    assert_eq!(request.load_hint, Some(12_000.0));
+    assert!(request.mid_flow && request.reconnecting);
     let event = wire::event("ACCEPT 305 other - - 8 0.012 - 0", &names).unwrap();
     let Some(Event::Request(request)) = event else { panic!("{event:?}") };
-    assert_eq!((request.class, request.key, request.hint), (usize::MAX, None, None));
+    assert_eq!((request.class, request.key, request.load_hint), (usize::MAX, None, None));
 }
 
 #[test]
@@ -120,16 +120,16 @@
     let all = [
         (200, Status::Ok),
         (502, Status::Error),
-        (429, Status::Full),
+        (429, Status::Overloaded),
         (408, Status::Timeout),
         (521, Status::ConnectFailed),
         (520, Status::Reset),
         (444, Status::Cancelled),
-        (409, Status::Moot),
+        (409, Status::NotSent),
     ];
     for (code, status) in all {
         let text = format!("COMPLETED 7 0 0.5 10.0.0.1:7000 {code} 1 0.5,-,3");
-        let Some(Event::Ended(ended)) = wire::event(&text, &names).unwrap() else { panic!() };
+        let Some(Event::AttemptEnded(ended)) = wire::event(&text, &names).unwrap() else { panic!() };
         assert_eq!((ended.status, ended.attempt, ended.latency), (status, 1, 500_000));
     }
     let fault = wire::event("COMPLETED 7 0 0.5 10.0.0.1:7000 418 1 -", &names).unwrap_err();
@@ -211,15 +211,15 @@
 fn a_count_of_relays_that_cannot_be_is_met_with_a_default_and_one_doubt() {
     let read = |stated: &str| wire::settings(&SETTINGS.replace("\"balancers\": 2,", stated)).unwrap();
     let (settings, names) = read("\"balancers\": 100,");
-    assert_eq!((settings.relays, names.doubts.len()), (100, 0));
+    assert_eq!((settings.proxies, names.doubts.len()), (100, 0));
     for stated in ["0", "-3", "2.5", "1e12", "99999999999", "\"many\"", "[1]", "null"] {
         let (settings, names) = read(&format!("\"balancers\": {stated},"));
-        assert_eq!(settings.relays, 1_000, "{stated}");
+        assert_eq!(settings.proxies, 1_000, "{stated}");
         assert_eq!(names.doubts.len(), 1, "{stated}");
         assert!(names.doubts[0].contains("balancers is"), "{}", names.doubts[0]);
     }
     let (settings, names) = read("");
-    assert_eq!((settings.relays, names.doubts.len()), (1_000, 1));
+    assert_eq!((settings.proxies, names.doubts.len()), (1_000, 1));
     assert!(names.doubts[0].contains("balancers is not stated"), "{}", names.doubts[0]);
 }
 
@@ -229,5 +229,5 @@
     let classes = r#""classes":[{"name":"a","target":1e300,"deadline":1e300,"window":1e308}]"#;
     let (settings, _) = pierloom_wire::settings(&format!("{{\"balancers\":3,{classes}}}")).unwrap();
     let class = &settings.classes[0];
-    assert_eq!([class.aim, class.deadline, class.window], [1_000_000_000_000_000; 3]);
+    assert_eq!([class.setup_target, class.deadline, class.repeat_window], [1_000_000_000_000_000; 3]);
 }
