--- a/crates/host/src/pass.rs
+++ b/crates/host/src/handover.rs
@@ -1,7 +1,7 @@
 //! Two processes of one machine beside each other: sockets and words pass between them, through a socket
 //! in a folder that both share.
 
-use crate::transient::{at_once, next_sound, opened};
+use crate::retry::{accept_with_retry, retry_immediately, retry_with_backoff};
 use crate::{TcpListener, TcpStream};
 use rustix::net::{
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
@@ -24,64 +24,64 @@
 const SOCKETS: usize = 2;
 
 /// Where a process waits for the one that is to take over.
-pub struct Offers(UnixListener);
+pub struct HandoverListener(UnixListener);
 
-impl Offers {
+impl HandoverListener {
     /// Offers at that path, in place of whoever did before.
-    pub(crate) fn at(path: &Path) -> io::Result<Self> {
+    pub(crate) fn bind(path: &Path) -> io::Result<Self> {
         let beside = path.with_extension(std::process::id().to_string());
         // One may be left over of a process of that number.
         let _ = std::fs::remove_file(&beside);
         let listener = UnixListener::bind(&beside)?;
         std::fs::rename(&beside, path)?;
-        Ok(Offers(listener))
+        Ok(HandoverListener(listener))
     }
 
     /// The next process that asks. Nothing is lost when this is dropped before its end.
-    pub async fn next(&self) -> io::Result<Pass> {
-        let (stream, _) = next_sound(async || self.0.accept().await).await?;
-        Ok(Pass::of(stream))
+    pub async fn accept(&self) -> io::Result<HandoverChannel> {
+        let (stream, _) = accept_with_retry(async || self.0.accept().await).await?;
+        Ok(HandoverChannel::of(stream))
     }
 }
 
 /// What passes beside a word.
-pub enum Socket<'a> {
+pub enum PassedSocket<'a> {
     /// One that listens.
     Listener(&'a TcpListener),
     /// A connection.
     Stream(&'a TcpStream),
 }
 
-impl Socket<'_> {
+impl PassedSocket<'_> {
     fn descriptor(&self) -> io::Result<BorrowedFd<'_>> {
         match self {
-            Socket::Listener(listener) => listener.descriptor(),
-            Socket::Stream(stream) => stream.descriptor(),
+            PassedSocket::Listener(listener) => listener.descriptor(),
+            PassedSocket::Stream(stream) => stream.descriptor(),
         }
     }
 }
 
 /// A connection to the process beside this one. Words are lines; sockets may go with them.
-pub struct Pass {
+pub struct HandoverChannel {
     stream: UnixStream,
     heard: RefCell<Vec<u8>>,
     sockets: RefCell<VecDeque<OwnedFd>>,
 }
 
-impl Pass {
+impl HandoverChannel {
     fn of(stream: UnixStream) -> Self {
-        Pass { stream, heard: RefCell::default(), sockets: RefCell::default() }
+        HandoverChannel { stream, heard: RefCell::default(), sockets: RefCell::default() }
     }
 
     /// Asks whoever offers at that path.
-    pub(crate) async fn to(path: &Path) -> io::Result<Self> {
-        Ok(Pass::of(opened(async || UnixStream::connect(path).await).await?))
+    pub(crate) async fn connect(path: &Path) -> io::Result<Self> {
+        Ok(HandoverChannel::of(retry_with_backoff(async || UnixStream::connect(path).await).await?))
     }
 
     /// Says a word, which holds no end of line, with two sockets at most. They stay open here too.
-    pub async fn say(&self, word: &[u8], sockets: &[Socket<'_>]) -> io::Result<()> {
+    pub async fn send(&self, word: &[u8], sockets: &[PassedSocket<'_>]) -> io::Result<()> {
         let descriptors: Vec<BorrowedFd<'_>> =
-            sockets.iter().map(Socket::descriptor).collect::<io::Result<_>>()?;
+            sockets.iter().map(PassedSocket::descriptor).collect::<io::Result<_>>()?;
         let first = self.stream.async_io(Interest::WRITABLE, || {
             let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(SOCKETS))];
             let mut rights = SendAncillaryBuffer::new(&mut space);
@@ -89,13 +89,13 @@
                 return Err(ErrorKind::InvalidInput.into());
             }
             let words = [IoSlice::new(word)];
-            at_once(|| Ok(sendmsg(&self.stream, &words, &mut rights, SendFlags::NOSIGNAL)?))
+            retry_immediately(|| Ok(sendmsg(&self.stream, &words, &mut rights, SendFlags::NOSIGNAL)?))
         });
         let written = first.await?;
         for mut part in [&word[written..], b"\n"] {
             while !part.is_empty() {
                 self.stream.writable().await?;
-                match at_once(|| self.stream.try_write(part)) {
+                match retry_immediately(|| self.stream.try_write(part)) {
                     Ok(written) => part = &part[written..],
                     Err(e) if e.kind() == ErrorKind::WouldBlock => {}
                     Err(e) => return Err(e),
@@ -106,7 +106,7 @@
     }
 
     /// The next word; an error once the other process has ended. Nothing is lost when this is dropped before its end.
-    pub async fn hear(&self) -> io::Result<Vec<u8>> {
+    pub async fn receive(&self) -> io::Result<Vec<u8>> {
         let mut searched = 0;
         loop {
             {
@@ -126,7 +126,7 @@
                 let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(SOCKETS))];
                 let mut rights = RecvAncillaryBuffer::new(&mut space);
                 let mut part = [0; PART];
-                let read = at_once(|| {
+                let read = retry_immediately(|| {
                     let into = &mut [IoSliceMut::new(&mut part)];
                     Ok(recvmsg(&self.stream, into, &mut rights, RecvFlags::CMSG_CLOEXEC)?.bytes)
                 })?;
@@ -149,14 +149,14 @@
     }
 
     /// The next socket that came with a word, which listens.
-    pub fn listener(&self) -> io::Result<TcpListener> {
+    pub fn receive_listener(&self) -> io::Result<TcpListener> {
         let listener = std::net::TcpListener::from(self.next_socket()?);
         listener.set_nonblocking(true)?;
         TcpListener::os(tokio::net::TcpListener::from_std(listener)?)
     }
 
     /// The next socket that came with a word, a connection.
-    pub fn stream(&self) -> io::Result<TcpStream> {
+    pub fn receive_stream(&self) -> io::Result<TcpStream> {
         let stream = std::net::TcpStream::from(self.next_socket()?);
         stream.set_nonblocking(true)?;
         Ok(tokio::net::TcpStream::from_std(stream)?.into())
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -6,15 +6,15 @@
 //!
 //! Everything here is for one thread: handles are `Rc`s, tasks are local, and nothing is `Send`.
 
+mod handover;
 mod net;
 mod os;
-mod pass;
+pub mod retry;
 mod task;
-pub mod transient;
 
-pub use net::{Interest, Listening, TcpListener, TcpStream, Wire};
-pub use pass::{Offers, Pass, Socket};
-pub use task::{Ended, Signals, Task};
+pub use handover::{HandoverChannel, HandoverListener, PassedSocket};
+pub use net::{Interest, ListenerIo, StreamIo, TcpListener, TcpStream};
+pub use task::{Signals, Task, TaskEnd};
 
 use std::any::Any;
 use std::future::Future;
@@ -61,17 +61,17 @@
         Err(io::ErrorKind::Unsupported.into())
     }
     /// Offers the process that is to take over a connection at that path, in place of whoever did before.
-    fn offer(&self, _at: &Path) -> io::Result<Offers> {
+    fn listen_handover(&self, _at: &Path) -> io::Result<HandoverListener> {
         Err(io::ErrorKind::Unsupported.into())
     }
     /// Asks whoever offers at that path.
-    fn ask<'a>(&self, _at: &'a Path) -> Local<'a, io::Result<Pass>> {
+    fn connect_handover<'a>(&self, _at: &'a Path) -> Local<'a, io::Result<HandoverChannel>> {
         Box::pin(std::future::ready(Err(io::ErrorKind::Unsupported.into())))
     }
     /// A variable of the process's environment.
-    fn variable(&self, name: &str) -> Option<String>;
+    fn env_var(&self, name: &str) -> Option<String>;
     /// Holds a descriptor until it is dropped; none if the process has none left.
-    fn spare_descriptor(&self) -> Option<Box<dyn Any>>;
+    fn reserve_descriptor(&self) -> Option<Box<dyn Any>>;
 }
 
 /// A handle on the machine; clones share it.
@@ -101,7 +101,7 @@
 
     /// Runs a task beside all others; a panic ends that task and no other.
     pub fn spawn(&self, task: impl Future<Output = ()> + 'static) -> Task {
-        let (task, handle) = task::watched(task);
+        let (task, handle) = task::catch_panics(task);
         self.0.spawn(Box::pin(task));
         handle
     }
@@ -133,22 +133,22 @@
     }
 
     /// Offers the process that is to take over a connection at that path, in place of whoever did before.
-    pub fn offer(&self, at: &Path) -> io::Result<Offers> {
-        self.0.offer(at)
+    pub fn listen_handover(&self, at: &Path) -> io::Result<HandoverListener> {
+        self.0.listen_handover(at)
     }
 
     /// Asks whoever offers at that path.
-    pub async fn ask(&self, at: &Path) -> io::Result<Pass> {
-        self.0.ask(at).await
+    pub async fn connect_handover(&self, at: &Path) -> io::Result<HandoverChannel> {
+        self.0.connect_handover(at).await
     }
 
     /// A variable of the process's environment.
-    pub fn variable(&self, name: &str) -> Option<String> {
-        self.0.variable(name)
+    pub fn env_var(&self, name: &str) -> Option<String> {
+        self.0.env_var(name)
     }
 
     /// Holds a descriptor until it is dropped; none if the process has none left.
-    pub fn spare_descriptor(&self) -> Option<Box<dyn Any>> {
-        self.0.spare_descriptor()
+    pub fn reserve_descriptor(&self) -> Option<Box<dyn Any>> {
+        self.0.reserve_descriptor()
     }
 }
--- a/crates/host/src/net.rs
+++ b/crates/host/src/net.rs
@@ -1,6 +1,6 @@
 //! TCP as the proxy uses it: readiness, partial reads and writes, half-close and reset, on any machine.
 
-use crate::transient::{at_once, next_sound};
+use crate::retry::{accept_with_retry, retry_immediately};
 use socket2::SockRef;
 use std::future::poll_fn;
 use std::io;
@@ -21,7 +21,7 @@
 }
 
 /// A connection that a machine other than the real one makes. Errors are those of the system's calls.
-pub trait Wire {
+pub trait StreamIo {
     /// Ready when `try_read` would not block.
     fn poll_readable(&self, context: &mut Context<'_>) -> Poll<()>;
     /// Ready when `try_write` would not block.
@@ -37,7 +37,7 @@
 }
 
 /// A listening socket that a machine other than the real one makes.
-pub trait Listening {
+pub trait ListenerIo {
     /// The next connection and where it came from.
     fn poll_accept(&self, context: &mut Context<'_>) -> Poll<io::Result<(TcpStream, SocketAddr)>>;
     /// The address it listens on.
@@ -46,7 +46,7 @@
 
 enum Stream {
     Os(tokio::net::TcpStream),
-    Made(Box<dyn Wire>),
+    Simulated(Box<dyn StreamIo>),
 }
 
 /// A TCP connection; it is closed when dropped.
@@ -60,8 +60,8 @@
 
 impl TcpStream {
     /// A connection of another machine's.
-    pub fn made(wire: impl Wire + 'static) -> Self {
-        TcpStream(Stream::Made(Box::new(wire)))
+    pub fn from_io(wire: impl StreamIo + 'static) -> Self {
+        TcpStream(Stream::Simulated(Box::new(wire)))
     }
 
     /// Waits for any of these; an error shows at the read or write that follows.
@@ -78,7 +78,7 @@
                 tokio::task::coop::consume_budget().await;
                 drop(stream.ready(wanted).await);
             }
-            Stream::Made(wire) => {
+            Stream::Simulated(wire) => {
                 poll_fn(|context| {
                     let readable = interest.read && wire.poll_readable(context).is_ready();
                     let writable = interest.write && wire.poll_writable(context).is_ready();
@@ -102,16 +102,16 @@
     /// Reads what there is; 0 at the other side's end, `WouldBlock` if there is nothing.
     pub fn try_read(&self, into: &mut [u8]) -> io::Result<usize> {
         match &self.0 {
-            Stream::Os(stream) => at_once(|| stream.try_read(into)),
-            Stream::Made(wire) => wire.try_read(into),
+            Stream::Os(stream) => retry_immediately(|| stream.try_read(into)),
+            Stream::Simulated(wire) => wire.try_read(into),
         }
     }
 
     /// Writes a part, as much as there is room for; `WouldBlock` if there is none.
     pub fn try_write(&self, bytes: &[u8]) -> io::Result<usize> {
         match &self.0 {
-            Stream::Os(stream) => at_once(|| stream.try_write(bytes)),
-            Stream::Made(wire) => wire.try_write(bytes),
+            Stream::Os(stream) => retry_immediately(|| stream.try_write(bytes)),
+            Stream::Simulated(wire) => wire.try_write(bytes),
         }
     }
 
@@ -119,7 +119,7 @@
     pub(crate) fn descriptor(&self) -> io::Result<BorrowedFd<'_>> {
         match &self.0 {
             Stream::Os(stream) => Ok(stream.as_fd()),
-            Stream::Made(_) => Err(io::ErrorKind::Unsupported.into()),
+            Stream::Simulated(_) => Err(io::ErrorKind::Unsupported.into()),
         }
     }
 
@@ -128,15 +128,15 @@
     pub fn set_nodelay(&self) {
         if let Stream::Os(stream) = &self.0 {
             // Nothing is lost over it.
-            let _ = at_once(|| stream.set_nodelay(true));
+            let _ = retry_immediately(|| stream.set_nodelay(true));
         }
     }
 
     /// Ends the sending: the other side reads an end after all that was written.
     pub fn finish(&self) -> io::Result<()> {
         match &self.0 {
-            Stream::Os(stream) => at_once(|| SockRef::from(stream).shutdown(Shutdown::Write)),
-            Stream::Made(wire) => wire.finish(),
+            Stream::Os(stream) => retry_immediately(|| SockRef::from(stream).shutdown(Shutdown::Write)),
+            Stream::Simulated(wire) => wire.finish(),
         }
     }
 
@@ -144,15 +144,17 @@
     pub fn reset_on_close(&self) {
         match &self.0 {
             // One that is closed already is none that could be reset.
-            Stream::Os(stream) => drop(at_once(|| SockRef::from(stream).set_linger(Some(Duration::ZERO)))),
-            Stream::Made(wire) => wire.reset_on_close(),
+            Stream::Os(stream) => {
+                drop(retry_immediately(|| SockRef::from(stream).set_linger(Some(Duration::ZERO))))
+            }
+            Stream::Simulated(wire) => wire.reset_on_close(),
         }
     }
 }
 
 /// Polls again where a call of the poll's failed for a moment.
 fn uninterrupted<T>(mut poll: impl FnMut() -> Poll<io::Result<T>>) -> Poll<io::Result<T>> {
-    let polled = at_once(|| match poll() {
+    let polled = retry_immediately(|| match poll() {
         Poll::Ready(done) => done.map(Poll::Ready),
         Poll::Pending => Ok(Poll::Pending),
     });
@@ -171,7 +173,7 @@
     ) -> Poll<io::Result<()>> {
         match &mut self.get_mut().0 {
             Stream::Os(stream) => uninterrupted(|| Pin::new(&mut *stream).poll_read(context, into)),
-            Stream::Made(wire) => loop {
+            Stream::Simulated(wire) => loop {
                 ready!(wire.poll_readable(context));
                 match wire.try_read(into.initialize_unfilled()) {
                     Ok(read) => {
@@ -190,7 +192,7 @@
     fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         match &mut self.get_mut().0 {
             Stream::Os(stream) => uninterrupted(|| Pin::new(&mut *stream).poll_write(context, bytes)),
-            Stream::Made(wire) => loop {
+            Stream::Simulated(wire) => loop {
                 ready!(wire.poll_writable(context));
                 match wire.try_write(bytes) {
                     Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
@@ -207,14 +209,14 @@
     fn poll_shutdown(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         match &mut self.get_mut().0 {
             Stream::Os(stream) => uninterrupted(|| Pin::new(&mut *stream).poll_shutdown(context)),
-            Stream::Made(wire) => Poll::Ready(wire.finish()),
+            Stream::Simulated(wire) => Poll::Ready(wire.finish()),
         }
     }
 }
 
 enum Listener {
     Os(tokio::net::TcpListener, SocketAddr),
-    Made(Box<dyn Listening>),
+    Simulated(Box<dyn ListenerIo>),
 }
 
 /// A listening socket.
@@ -227,8 +229,8 @@
     }
 
     /// A listening socket of another machine's.
-    pub fn made(listening: impl Listening + 'static) -> Self {
-        TcpListener(Listener::Made(Box::new(listening)))
+    pub fn from_io(listening: impl ListenerIo + 'static) -> Self {
+        TcpListener(Listener::Simulated(Box::new(listening)))
     }
 
     /// The next connection and where it came from; one that failed before it was taken in is passed over. Nothing is
@@ -236,10 +238,10 @@
     pub async fn accept(&self) -> io::Result<(TcpStream, SocketAddr)> {
         match &self.0 {
             Listener::Os(listener, _) => {
-                let (stream, from) = next_sound(async || listener.accept().await).await?;
+                let (stream, from) = accept_with_retry(async || listener.accept().await).await?;
                 Ok((stream.into(), from))
             }
-            Listener::Made(listening) => poll_fn(|context| listening.poll_accept(context)).await,
+            Listener::Simulated(listening) => poll_fn(|context| listening.poll_accept(context)).await,
         }
     }
 
@@ -247,7 +249,7 @@
     pub(crate) fn descriptor(&self) -> io::Result<BorrowedFd<'_>> {
         match &self.0 {
             Listener::Os(listener, _) => Ok(listener.as_fd()),
-            Listener::Made(_) => Err(io::ErrorKind::Unsupported.into()),
+            Listener::Simulated(_) => Err(io::ErrorKind::Unsupported.into()),
         }
     }
 
@@ -255,7 +257,7 @@
     pub fn address(&self) -> SocketAddr {
         match &self.0 {
             Listener::Os(_, address) => *address,
-            Listener::Made(listening) => listening.address(),
+            Listener::Simulated(listening) => listening.address(),
         }
     }
 }
--- a/crates/host/src/os.rs
+++ b/crates/host/src/os.rs
@@ -1,8 +1,10 @@
 //! The real machine, on tokio.
 
-use crate::task::{Arrivals, Source};
-use crate::transient::{opened, opened_blocking};
-use crate::{Local, Machine, Micros, Offers, Pass, Signal, Signals, TcpListener, TcpStream};
+use crate::retry::{retry_with_backoff, retry_with_backoff_blocking};
+use crate::task::{OsSignal, Source};
+use crate::{
+    HandoverChannel, HandoverListener, Local, Machine, Micros, Signal, Signals, TcpListener, TcpStream,
+};
 use signal_hook::consts::{SIGHUP, SIGTERM};
 use socket2::{Domain, Socket, Type};
 use std::any::Any;
@@ -39,11 +41,11 @@
 
     fn connect(&self, to: SocketAddr) -> Local<'static, io::Result<TcpStream>> {
         let connect = async move || tokio::net::TcpStream::connect(to).await.map(TcpStream::from);
-        Box::pin(opened(connect))
+        Box::pin(retry_with_backoff(connect))
     }
 
     fn listen(&self, at: SocketAddr, backlog: i32, beside: bool) -> io::Result<TcpListener> {
-        opened_blocking(|| {
+        retry_with_backoff_blocking(|| {
             let socket = Socket::new(Domain::for_address(at), Type::STREAM, None)?;
             socket.set_reuse_address(true)?;
             if beside {
@@ -61,17 +63,17 @@
             Signal::Hangup => SIGHUP,
             Signal::Terminate => SIGTERM,
         };
-        let arrivals = opened_blocking(|| Arrivals::of(number))?;
+        let arrivals = retry_with_backoff_blocking(|| OsSignal::of(number))?;
         Ok(Signals(Source::Os(arrivals)))
     }
 
     fn read_file(&self, path: &Path) -> io::Result<Vec<u8>> {
-        opened_blocking(|| std::fs::read(path))
+        retry_with_backoff_blocking(|| std::fs::read(path))
     }
 
     fn write_file(&self, path: &Path, bytes: &[u8]) -> io::Result<()> {
         let beside = path.with_extension(std::process::id().to_string());
-        let written = opened_blocking(|| {
+        let written = retry_with_backoff_blocking(|| {
             let mut file = std::fs::File::create(&beside)?;
             file.write_all(bytes)?;
             file.sync_all()?;
@@ -84,19 +86,19 @@
         written
     }
 
-    fn offer(&self, at: &Path) -> io::Result<Offers> {
-        Offers::at(at)
+    fn listen_handover(&self, at: &Path) -> io::Result<HandoverListener> {
+        HandoverListener::bind(at)
     }
 
-    fn ask<'a>(&self, at: &'a Path) -> Local<'a, io::Result<Pass>> {
-        Box::pin(Pass::to(at))
+    fn connect_handover<'a>(&self, at: &'a Path) -> Local<'a, io::Result<HandoverChannel>> {
+        Box::pin(HandoverChannel::connect(at))
     }
 
-    fn variable(&self, name: &str) -> Option<String> {
+    fn env_var(&self, name: &str) -> Option<String> {
         std::env::var(name).ok()
     }
 
-    fn spare_descriptor(&self) -> Option<Box<dyn Any>> {
+    fn reserve_descriptor(&self) -> Option<Box<dyn Any>> {
         std::fs::File::open("/dev/null").ok().map(|file| Box::new(file) as Box<dyn Any>)
     }
 }
--- a/crates/host/src/transient.rs
+++ b/crates/host/src/retry.rs
@@ -26,14 +26,14 @@
 }
 
 /// Whether this machine lacked something for the call, so that it tells nothing of whoever was to be reached.
-pub fn of_this_machine(error: &io::Error) -> bool {
+pub fn is_local_error(error: &io::Error) -> bool {
     let own = [Errno::INTR, Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM, Errno::ADDRNOTAVAIL];
     errno(error).is_some_and(|errno| own.contains(&errno))
 }
 
 /// Whether an accept failed for a lack of something here. Any other failure is that of the one connection which was
 /// next, as accept(2) says.
-pub fn lacks_room(error: &io::Error) -> bool {
+pub fn is_resource_exhausted(error: &io::Error) -> bool {
     let lacks = [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM];
     errno(error).is_some_and(|errno| lacks.contains(&errno))
 }
@@ -48,11 +48,11 @@
 /// folder may be full or fail for one.
 fn passing_soon(error: &io::Error) -> bool {
     let soon = [Errno::NETUNREACH, Errno::NOSPC, Errno::IO];
-    of_this_machine(error) || errno(error).is_some_and(|errno| soon.contains(&errno))
+    is_local_error(error) || errno(error).is_some_and(|errno| soon.contains(&errno))
 }
 
 /// Makes a call that does not wait, again where it fails for a moment.
-pub(crate) fn at_once<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+pub(crate) fn retry_immediately<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     for _ in 1..TRIES {
         match call() {
             Err(error) if passing(&error) => {}
@@ -63,10 +63,10 @@
 }
 
 /// Accepts again where one connection failed before it was taken in.
-pub(crate) async fn next_sound<T>(mut accept: impl AsyncFnMut() -> io::Result<T>) -> io::Result<T> {
+pub(crate) async fn accept_with_retry<T>(mut accept: impl AsyncFnMut() -> io::Result<T>) -> io::Result<T> {
     for _ in 1..TRIES {
         match accept().await {
-            Err(error) if !lacks_room(&error) => {}
+            Err(error) if !is_resource_exhausted(&error) => {}
             done => return done,
         }
     }
@@ -74,7 +74,7 @@
 }
 
 /// Opens something, again after a pause where that fails for a moment.
-pub(crate) async fn opened<T>(mut open: impl AsyncFnMut() -> io::Result<T>) -> io::Result<T> {
+pub(crate) async fn retry_with_backoff<T>(mut open: impl AsyncFnMut() -> io::Result<T>) -> io::Result<T> {
     for pause in PAUSES {
         match open().await {
             Err(error) if passing_soon(&error) => {}
@@ -88,7 +88,7 @@
 }
 
 /// The same where nothing else is under way yet, so that the thread may wait.
-pub fn opened_blocking<T>(mut open: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+pub fn retry_with_backoff_blocking<T>(mut open: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     for pause in PAUSES {
         match open() {
             Err(error) if passing_soon(&error) => std::thread::sleep(pause),
--- a/crates/host/src/task.rs
+++ b/crates/host/src/task.rs
@@ -14,26 +14,26 @@
 
 /// How a task ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum TaskEnd {
     /// It came to its end.
-    Done,
+    Completed,
     /// It panicked, or its process ended.
-    Broke,
+    Aborted,
 }
 
 /// A handle on a task, to await its end. Dropped, it leaves the task running.
-pub struct Task(oneshot::Receiver<Ended>);
+pub struct Task(oneshot::Receiver<TaskEnd>);
 
 impl Future for Task {
-    type Output = Ended;
+    type Output = TaskEnd;
 
-    fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Ended> {
-        Pin::new(&mut self.0).poll(context).map(|ended| ended.unwrap_or(Ended::Broke))
+    fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<TaskEnd> {
+        Pin::new(&mut self.0).poll(context).map(|ended| ended.unwrap_or(TaskEnd::Aborted))
     }
 }
 
 /// The task with its panics caught, and its handle.
-pub(crate) fn watched(task: impl Future<Output = ()>) -> (impl Future<Output = ()>, Task) {
+pub(crate) fn catch_panics(task: impl Future<Output = ()>) -> (impl Future<Output = ()>, Task) {
     let (sender, receiver) = oneshot::channel();
     let task = async move {
         let ended = Caught(Box::pin(task)).await;
@@ -46,13 +46,13 @@
 struct Caught<F>(Pin<Box<F>>);
 
 impl<F: Future<Output = ()>> Future for Caught<F> {
-    type Output = Ended;
+    type Output = TaskEnd;
 
-    fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Ended> {
+    fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<TaskEnd> {
         // What a panic leaves half done belongs to the task, which is dropped and never polled again.
         match catch_unwind(AssertUnwindSafe(|| self.0.as_mut().poll(context))) {
-            Ok(polled) => polled.map(|()| Ended::Done),
-            Err(_) => Poll::Ready(Ended::Broke),
+            Ok(polled) => polled.map(|()| TaskEnd::Completed),
+            Err(_) => Poll::Ready(TaskEnd::Aborted),
         }
     }
 }
@@ -60,12 +60,12 @@
 /// A signal of the real machine. Its handler sets a flag and then writes to a socket that wakes whoever waits; the flag is
 /// looked at now and then too, as a call that fails may lose the wake. Guards against tokio's own, which ends the process
 /// when the read that follows a signal is interrupted.
-pub(crate) struct Arrivals {
+pub(crate) struct OsSignal {
     arrived: Arc<AtomicBool>,
     wakes: UnixStream,
 }
 
-impl Arrivals {
+impl OsSignal {
     /// Handles that signal from now on.
     pub fn of(number: i32) -> io::Result<Self> {
         let arrived = Arc::new(AtomicBool::new(false));
@@ -75,7 +75,7 @@
         // In this order: whoever is woken finds the flag set.
         signal_hook::flag::register(number, arrived.clone())?;
         signal_hook::low_level::pipe::register(number, waker)?;
-        Ok(Arrivals { arrived, wakes })
+        Ok(OsSignal { arrived, wakes })
     }
 
     async fn next(&mut self) {
@@ -101,14 +101,14 @@
 pub struct Signals(pub(crate) Source);
 
 pub(crate) enum Source {
-    Os(Arrivals),
-    Made(UnboundedReceiver<()>),
+    Os(OsSignal),
+    Simulated(UnboundedReceiver<()>),
 }
 
 impl Signals {
     /// Signals that another machine sends through a channel.
-    pub fn made(arrivals: UnboundedReceiver<()>) -> Self {
-        Signals(Source::Made(arrivals))
+    pub fn from_channel(arrivals: UnboundedReceiver<()>) -> Self {
+        Signals(Source::Simulated(arrivals))
     }
 
     /// Waits for the next arrival; none when no more can come.
@@ -118,7 +118,7 @@
                 arrivals.next().await;
                 Some(())
             }
-            Source::Made(arrivals) => arrivals.recv().await,
+            Source::Simulated(arrivals) => arrivals.recv().await,
         }
     }
 }
--- a/crates/pierloom/src/main.rs
+++ b/crates/pierloom/src/main.rs
@@ -6,7 +6,7 @@
 
 use argh::FromArgs;
 use pierloom_host::Host;
-use pierloom_host::transient::opened_blocking;
+use pierloom_host::retry::retry_with_backoff_blocking;
 use pierloom_proxy::config::{self, Config, Fault};
 use pierloom_proxy::{Handlers, Parts};
 use settings::{Format, Settings};
@@ -63,7 +63,7 @@
 const BAD_CONFIG: u8 = 2;
 
 fn config(host: &Host, path: Option<PathBuf>) -> Result<Config, Fault> {
-    let path = path.or_else(|| host.variable("LB_CONFIG").map(PathBuf::from));
+    let path = path.or_else(|| host.env_var("LB_CONFIG").map(PathBuf::from));
     config::read(host, &path.ok_or("config: LB_CONFIG is not set")?)
 }
 
@@ -74,12 +74,12 @@
 fn check(host: &Host, check: Check) -> Result<String, Fault> {
     own_settings(host, check.settings.as_deref())?;
     match check.settings {
-        Some(path) if check.config.is_none() && host.variable("LB_CONFIG").is_none() => {
+        Some(path) if check.config.is_none() && host.env_var("LB_CONFIG").is_none() => {
             Ok(format!("good: {}", path.display()))
         }
         _ => {
             let config = config(host, check.config)?;
-            let doubts: String = config.names.doubts.iter().map(|doubt| format!("; {doubt}")).collect();
+            let doubts: String = config.names.warnings.iter().map(|doubt| format!("; {doubt}")).collect();
             Ok(format!("good: {} would listen on {}{doubts}", config.name, config.listen))
         }
     }
@@ -88,7 +88,7 @@
 /// Installs the handlers of signals first, as whatever comes before would be ended by one.
 fn prepare(host: &Host) -> Result<(Runtime, Handlers), Fault> {
     let build = || tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = opened_blocking(build).map_err(|e| format!("runtime: {e}"))?;
+    let runtime = retry_with_backoff_blocking(build).map_err(|e| format!("runtime: {e}"))?;
     let handlers = {
         let _entered = runtime.enter();
         Handlers::install(host)?
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -5,7 +5,7 @@
 use crate::stream::{first_line, read_line, write_all};
 use pierloom_decision::{Micros, Status};
 use pierloom_host::TcpStream;
-use pierloom_host::transient::of_this_machine;
+use pierloom_host::retry::is_local_error;
 use std::net::SocketAddr;
 
 /// How far an attempt came before it ended.
@@ -89,7 +89,7 @@
     let stream = tokio::select! {
         biased;
         stream = core.host.connect(node) => {
-            let cause = |e| if of_this_machine(&e) { Cause::Unable } else { Cause::Broke };
+            let cause = |e| if is_local_error(&e) { Cause::Unable } else { Cause::Broke };
             stream.map_err(|e| ending(Reach::NotConnected, cause(e)))?
         }
         () = core.deadlines.until(connect_until) => return Err(ending(Reach::NotConnected, Cause::Late)),
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -3,7 +3,7 @@
 use crate::source::discovery::{self, List};
 use pierloom_decision::{Balancer, Settings};
 use pierloom_host::Host;
-use pierloom_wire::{self as wire, Names};
+use pierloom_wire::{self as wire, NameIndex};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -49,7 +49,7 @@
     /// The module's settings.
     pub settings: Settings,
     /// The names that the settings use.
-    pub names: Rc<Names>,
+    pub names: Rc<NameIndex>,
     /// Where all this was read.
     pub source: Source,
 }
@@ -82,7 +82,7 @@
 const USUAL_SOCKETS: usize = 1024;
 
 fn address(host: &Host, what: &str, variable: &str, stated: Option<String>) -> Result<SocketAddr, Fault> {
-    let text = host.variable(variable).or(stated);
+    let text = host.env_var(variable).or(stated);
     let text = text.ok_or_else(|| format!("{what}: neither {variable} nor the config names an address"))?;
     parsed(what, &text)
 }
@@ -96,7 +96,7 @@
     let mut bytes = host.read_file(path).map_err(|e| format!("config {}: {e}", path.display()))?;
     let file: File = simd_json::serde::from_slice(&mut bytes)
         .map_err(|e| format!("config {}: {e}", path.display()).replace('\n', " "))?;
-    let (mut settings, names) = wire::settings_value(file.settings)?;
+    let (mut settings, names) = wire::parse_settings_value(file.settings)?;
     // An agent that pushes stands beside the proxy, and what it has not got is not told.
     settings.max_endpoints_age = settings.ask_for_list.then_some(discovery::BINDS);
     settings.max_endpoints_age_after_move = discovery::BINDS_MOVED;
@@ -105,11 +105,11 @@
     Balancer::new(settings.clone(), seed).map_err(|e| e.to_string())?;
     let source = Source { path: path.to_path_buf(), discovery: file.discovery.clone() };
     Ok(Config {
-        name: host.variable("LB_NAME").or(file.name).unwrap_or_else(|| "pierloom".into()),
+        name: host.env_var("LB_NAME").or(file.name).unwrap_or_else(|| "pierloom".into()),
         listen: address(host, "listen", "LB_LISTEN", file.listen)?,
         discovery: address(host, "discovery", "LB_DISCOVERY", file.discovery)?,
         console: host
-            .variable("LB_CONSOLE")
+            .env_var("LB_CONSOLE")
             .or(file.console)
             .map(|text| parsed("console", &text))
             .transpose()?,
--- a/crates/proxy/src/front/lines.rs
+++ b/crates/proxy/src/front/lines.rs
@@ -2,7 +2,7 @@
 
 use super::{First, Front, Opening, Reply};
 use pierloom_decision::{BackendId, Micros, Request, Settings};
-use pierloom_wire::{Names, key_hash};
+use pierloom_wire::{NameIndex, key_hash};
 use std::rc::Rc;
 use winnow::Result;
 use winnow::ascii::{alpha1, dec_uint, float};
@@ -15,13 +15,13 @@
 
 /// The platform's grammar, for one proxy's settings.
 pub struct Lines {
-    names: Rc<Names>,
+    names: Rc<NameIndex>,
     longest_wait: Micros,
 }
 
 impl Lines {
     /// The grammar for the names of these settings.
-    pub fn new(names: Rc<Names>, settings: &Settings) -> Self {
+    pub fn new(names: Rc<NameIndex>, settings: &Settings) -> Self {
         let longest = settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
         Lines { names, longest_wait: longest.saturating_mul(PATIENCE) }
     }
@@ -129,7 +129,7 @@
     fn values(&self, text: &str) -> Vec<f64> {
         let Ok(report) = report.parse(text) else { return Vec::new() };
         let value = |column: &String| report.iter().find(|(name, _)| name == column).map(|&(_, value)| value);
-        self.names.columns().iter().map(|column| value(column).unwrap_or(0.0)).collect()
+        self.names.report_columns().iter().map(|column| value(column).unwrap_or(0.0)).collect()
     }
 
     fn open(&self, line: &str) -> Option<Open> {
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -32,7 +32,7 @@
 use self::source::discovery::{self, Roster};
 use self::upgrade::Upgrades;
 use pierloom_decision::{Balancer, Event, ListKind};
-use pierloom_host::{Ended, Host, Signal, Signals};
+use pierloom_host::{Host, Signal, Signals, TaskEnd};
 use std::cell::{Cell, RefCell};
 use std::future::Future;
 use std::rc::Rc;
@@ -78,7 +78,7 @@
     let (core, probes) = Core::new(host.clone(), config.settings, module, figures);
     let Handlers { hangups, terminations } = handlers;
     let terminated = shutdown::note_sigterm(&core, terminations);
-    names.doubts.iter().for_each(|doubt| tracing::warn!(target: "config", "{doubt}"));
+    names.warnings.iter().for_each(|doubt| tracing::warn!(target: "config", "{doubt}"));
     keep_up(&host, "sweep", {
         let core = core.clone();
         move || core.clone().sweep()
@@ -130,7 +130,7 @@
 ) {
     let machine = host.clone();
     host.spawn(async move {
-        while machine.spawn(start()).await == Ended::Broke {
+        while machine.spawn(start()).await == TaskEnd::Aborted {
             tracing::error!(target: "proxy", "{what}: started again after a panic");
         }
     });
--- a/crates/proxy/src/listener.rs
+++ b/crates/proxy/src/listener.rs
@@ -67,7 +67,7 @@
     pub fn new(host: &Host, listener: TcpListener, sockets: usize, reserved: usize) -> Self {
         let places = (sockets / PENDING_PART).max(PENDING_LEAST);
         let most = (sockets.saturating_sub(RESERVED + places + reserved) / PER_JOB).max(1);
-        let spare = RefCell::new(host.spare_descriptor());
+        let spare = RefCell::new(host.reserve_descriptor());
         Listener {
             listener,
             most,
@@ -177,7 +177,7 @@
             () = told => {}
             () = core.deadlines.until(until) => {}
         }
-        *self.spare.borrow_mut() = core.host.spare_descriptor();
+        *self.spare.borrow_mut() = core.host.reserve_descriptor();
         core.deadlines.until(core.now() + ACCEPT_PAUSE).await;
     }
 }
--- a/crates/proxy/src/source/discovery.rs
+++ b/crates/proxy/src/source/discovery.rs
@@ -7,8 +7,8 @@
 use hyper::header::HOST;
 use hyper_util::rt::TokioIo;
 use pierloom_decision::{Event, ListKind, Member, MemberState, Micros};
-use pierloom_host::transient::of_this_machine;
-use pierloom_wire::Names;
+use pierloom_host::retry::is_local_error;
+use pierloom_wire::NameIndex;
 use serde::de::IgnoredAny;
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
@@ -115,7 +115,7 @@
 }
 
 impl Endpoint {
-    fn member(&self, names: &Names) -> Member {
+    fn member(&self, names: &NameIndex) -> Member {
         Member {
             backend: self.name.as_str().into(),
             state: match self.status {
@@ -162,7 +162,7 @@
 
 /// Hands a list to the core: the addresses first, so that whatever the module picks can be dialled. An entry that cannot
 /// be read leaves who it names as before.
-pub fn enter(core: &Core, names: &Names, roster: &RefCell<Roster>, mut list: List, kind: ListKind) {
+pub fn enter(core: &Core, names: &NameIndex, roster: &RefCell<Roster>, mut list: List, kind: ListKind) {
     for name in &list.odd {
         tracing::warn!(target: "machine_list", "{name:?} has an entry that cannot be read");
         let before = roster.borrow().endpoints.get(name).cloned();
@@ -199,7 +199,7 @@
 
     /// One of this machine's own tells nothing of discovery.
     fn connecting(why: io::Error) -> Self {
-        if of_this_machine(&why) { Failure::after("not asked", why) } else { Failure::unreached(why) }
+        if is_local_error(&why) { Failure::after("not asked", why) } else { Failure::unreached(why) }
     }
 
     fn after(stage: &str, why: impl ToString) -> Self {
@@ -306,7 +306,7 @@
 /// Whoever follows a discovery, and how far.
 struct Follower<'a> {
     core: &'a Core,
-    names: &'a Names,
+    names: &'a NameIndex,
     roster: &'a RefCell<Roster>,
     moves: watch::Receiver<SocketAddr>,
     discovery: SocketAddr,
@@ -329,7 +329,7 @@
 /// with calls that nobody hears.
 pub async fn watch(
     core: Rc<Core>,
-    names: Rc<Names>,
+    names: Rc<NameIndex>,
     roster: Rc<RefCell<Roster>>,
     mut moves: watch::Receiver<SocketAddr>,
     from: Option<u64>,
--- a/crates/proxy/src/upgrade.rs
+++ b/crates/proxy/src/upgrade.rs
@@ -8,7 +8,7 @@
 use crate::relay::{Flow, Standing};
 use crate::source::discovery::Roster;
 use pierloom_decision::{BackendId, ClockOffset, Event, LearnedState, Micros};
-use pierloom_host::{Pass, Socket, TcpListener};
+use pierloom_host::{HandoverChannel, PassedSocket, TcpListener};
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -73,7 +73,7 @@
     pub list: Roster,
     pub learned: LearnedState,
     pub jobs: usize,
-    pub pass: Pass,
+    pub pass: HandoverChannel,
 }
 
 /// Where the process beside this one is met, and what staff withhold is kept.
@@ -116,7 +116,7 @@
 impl Upgrades {
     /// With a second address, in the folder that both processes share.
     pub fn new(core: Rc<Core>, front: Rc<dyn Front>, name: &str, console: bool) -> Rc<Self> {
-        let folder = core.host.variable("TMPDIR").filter(|_| console);
+        let folder = core.host.env_var("TMPDIR").filter(|_| console);
         let place = folder.map(|folder| {
             let base = PathBuf::from(folder).join(file_name(name));
             Place { socket: base.with_extension("sock"), withheld: base.with_extension("withheld") }
@@ -142,14 +142,14 @@
         let place = self.place.as_ref()?;
         let asked_at = self.core.now();
         let asked = async {
-            let pass = self.core.host.ask(&place.socket).await?;
-            let Word::State(state) = read(pass.hear().await?)? else {
+            let pass = self.core.host.connect_handover(&place.socket).await?;
+            let Word::State(state) = read(pass.receive().await?)? else {
                 return Err(io::ErrorKind::InvalidData.into());
             };
-            let listener = pass.listener()?;
+            let listener = pass.receive_listener()?;
             Ok((pass, listener, state))
         };
-        let answer: io::Result<(Pass, TcpListener, State)> = tokio::select! {
+        let answer: io::Result<(HandoverChannel, TcpListener, State)> = tokio::select! {
             biased;
             answer = asked => answer,
             () = self.core.deadlines.until(self.core.now() + ANSWER) => Err(io::ErrorKind::TimedOut.into()),
@@ -247,7 +247,7 @@
         self: Rc<Self>,
         listener: Rc<Listener>,
         list: Rc<RefCell<Roster>>,
-        before: Option<(Pass, usize)>,
+        before: Option<(HandoverChannel, usize)>,
     ) {
         if let Some((pass, jobs)) = before {
             listener.held_elsewhere(jobs);
@@ -270,8 +270,8 @@
         self.serving.set(true);
         let Some(place) = &self.place else { return };
         loop {
-            let met = match self.core.host.offer(&place.socket) {
-                Ok(offers) => offers.next().await,
+            let met = match self.core.host.listen_handover(&place.socket) {
+                Ok(offers) => offers.accept().await,
                 Err(e) => Err(e),
             };
             match met {
@@ -285,7 +285,12 @@
     }
 
     /// The new process's side, until the old one has ended; how it ended.
-    async fn follow(&self, pass: &Pass, listener: &Listener, released: &tokio::sync::Notify) -> io::Error {
+    async fn follow(
+        &self,
+        pass: &HandoverChannel,
+        listener: &Listener,
+        released: &tokio::sync::Notify,
+    ) -> io::Error {
         let mut tells = self.tells();
         if let Err(e) = say(pass, &Word::Taken).await {
             return e;
@@ -293,7 +298,7 @@
         loop {
             let heard = tokio::select! {
                 biased;
-                heard = pass.hear() => heard.and_then(read),
+                heard = pass.receive() => heard.and_then(read),
                 Some(word) = tells.recv() => match say(pass, &word).await {
                     Ok(()) => continue,
                     Err(e) => return e,
@@ -317,14 +322,14 @@
         }
     }
 
-    fn adopt(&self, pass: &Pass, connection: Connection, flow: Flow) -> bool {
-        let (Ok(client), Ok(node)) = (pass.stream(), pass.stream()) else { return false };
+    fn adopt(&self, pass: &HandoverChannel, connection: Connection, flow: Flow) -> bool {
+        let (Ok(client), Ok(node)) = (pass.receive_stream(), pass.receive_stream()) else { return false };
         let flow = flow.moved(self.clock_offset.get());
         job::adopt(&self.core, self.front.clone(), connection, Standing { client, node, flow })
     }
 
     /// The old process's side, until the new one has ended, or did not start in time.
-    async fn hand_over(&self, pass: &Pass, listener: &Listener, list: &RefCell<Roster>) {
+    async fn hand_over(&self, pass: &HandoverChannel, listener: &Listener, list: &RefCell<Roster>) {
         let mut tells = self.tells();
         let state = State {
             clock: Some(self.core.now()),
@@ -336,13 +341,13 @@
         let (sender, mut handed) = unbounded_channel::<HandedOn>();
         let mut under_way: Option<(Standing, Done)> = None;
         let end = async {
-            say_with(pass, &Word::State(state), &[Socket::Listener(listener.socket())]).await?;
+            say_with(pass, &Word::State(state), &[PassedSocket::Listener(listener.socket())]).await?;
             let (mut taken, mut told) = (false, None);
             let until = self.core.now() + START;
             loop {
                 tokio::select! {
                     biased;
-                    heard = pass.hear() => match read(heard?)? {
+                    heard = pass.receive() => match read(heard?)? {
                         Word::Taken => {
                             tracing::info!(target: "upgrade", "the process after takes over");
                             listener.close();
@@ -363,7 +368,12 @@
                     Some(one) = handed.recv(), if under_way.is_none() => {
                         let HandedOn { connection, standing: Standing { client, node, flow }, done } = one;
                         let word = Word::Connection(connection, flow);
-                        let sent = say_with(pass, &word, &[Socket::Stream(&client), Socket::Stream(&node)]).await;
+                        let sent = say_with(
+                            pass,
+                            &word,
+                            &[PassedSocket::Stream(&client), PassedSocket::Stream(&node)],
+                        )
+                        .await;
                         let Word::Connection(_, flow) = word else { continue };
                         under_way = Some((Standing { client, node, flow }, done));
                         sent?;
@@ -398,10 +408,10 @@
     simd_json::serde::from_slice(&mut word).map_err(|e| io::Error::new(io::ErrorKind::InvalidData, e))
 }
 
-async fn say(pass: &Pass, word: &Word) -> io::Result<()> {
+async fn say(pass: &HandoverChannel, word: &Word) -> io::Result<()> {
     say_with(pass, word, &[]).await
 }
 
-async fn say_with(pass: &Pass, word: &Word, sockets: &[Socket<'_>]) -> io::Result<()> {
-    pass.say(&serde_json::to_vec(word)?, sockets).await
+async fn say_with(pass: &HandoverChannel, word: &Word, sockets: &[PassedSocket<'_>]) -> io::Result<()> {
+    pass.send(&serde_json::to_vec(word)?, sockets).await
 }
--- a/crates/wire/src/bin/pierloom-adapter.rs
+++ b/crates/wire/src/bin/pierloom-adapter.rs
@@ -3,7 +3,7 @@
 //! but the immutable lists.
 
 use pierloom_decision::{Action, Balancer, Event, Member};
-use pierloom_wire::{self as wire, Fault, Line, Names};
+use pierloom_wire::{self as wire, Line, NameIndex, ParseError};
 use std::collections::BTreeMap;
 use std::io::{BufRead, Write};
 use std::process::ExitCode;
@@ -12,18 +12,18 @@
 
 struct Instance {
     balancer: Balancer,
-    names: Names,
+    names: NameIndex,
 }
 
 /// An immutable list, and its members as parsed for settings that name zones alike.
 #[derive(Clone, Default)]
 struct Page {
     lines: Rc<Vec<String>>,
-    parsed: Option<(Names, Arc<[Member]>)>,
+    parsed: Option<(NameIndex, Arc<[Member]>)>,
 }
 
 #[derive(Default)]
-struct Host {
+struct InstanceHost {
     now: u64,
     current: Option<u64>,
     instances: BTreeMap<u64, Instance>,
@@ -34,23 +34,23 @@
 }
 
 impl Page {
-    fn members(&mut self, names: &Names) -> Result<Arc<[Member]>, Fault> {
+    fn members(&mut self, names: &NameIndex) -> Result<Arc<[Member]>, ParseError> {
         if let Some((_, members)) = self.parsed.as_ref().filter(|(known, _)| known == names) {
             return Ok(members.clone());
         }
-        let members = wire::members(&self.lines, names)?;
+        let members = wire::parse_members(&self.lines, names)?;
         self.parsed = Some((names.clone(), members.clone()));
         Ok(members)
     }
 }
 
-impl Host {
-    fn relay(&self, message: &str) -> Result<u64, Fault> {
+impl InstanceHost {
+    fn current_instance(&self, message: &str) -> Result<u64, ParseError> {
         self.current.ok_or_else(|| format!("{message}: no CONTEXT before it"))
     }
 
-    fn deliver(&mut self, message: &str, event: Event) -> Result<(), Fault> {
-        let relay = self.relay(message)?;
+    fn deliver(&mut self, message: &str, event: Event) -> Result<(), ParseError> {
+        let relay = self.current_instance(message)?;
         let instance = self.instances.get_mut(&relay);
         let instance = instance.ok_or_else(|| format!("{message}: relay {relay} has no INIT"))?;
         instance.balancer.handle(self.now, event, self.replies.entry(relay).or_default());
@@ -58,8 +58,8 @@
     }
 
     /// Takes one line; true when a reply is due.
-    fn take(&mut self, text: &str) -> Result<bool, Fault> {
-        let line = wire::line(text)?;
+    fn take(&mut self, text: &str) -> Result<bool, ParseError> {
+        let line = wire::parse_line(text)?;
         if let Some((list, wanted, mut lines)) = self.filling.take() {
             let Line::Entry(entry) = line else {
                 return Err(format!("PAGE: list {list} has fewer than {wanted} items"));
@@ -85,8 +85,8 @@
             }
             Line::Context(relay) => self.current = Some(relay),
             Line::Init(seed, json) => {
-                let relay = self.relay("INIT")?;
-                let (settings, names) = wire::settings(&json)?;
+                let relay = self.current_instance("INIT")?;
+                let (settings, names) = wire::parse_settings(&json)?;
                 let balancer = Balancer::new(settings, seed).map_err(|e| format!("INIT {e}"))?;
                 self.replies.remove(&relay);
                 self.instances.insert(relay, Instance { balancer, names });
@@ -97,7 +97,7 @@
             Line::Page(list, wanted) => self.filling = Some((list, wanted, Vec::new())),
             Line::Entry(_) => return Err("M: no PAGE before it".to_string()),
             Line::Roster(kind, page) => {
-                let relay = self.relay("ROSTER_CHANGE")?;
+                let relay = self.current_instance("ROSTER_CHANGE")?;
                 let names = self.instances.get(&relay).map(|i| &i.names);
                 let names = names.ok_or("ROSTER_CHANGE: no INIT before it")?;
                 let members = match page {
@@ -110,16 +110,16 @@
                 self.deliver("ROSTER_CHANGE", Event::Members { kind, members })?;
             }
             Line::Shutdown => {
-                let relay = self.relay("SHUTDOWN")?;
+                let relay = self.current_instance("SHUTDOWN")?;
                 self.instances.remove(&relay);
                 self.replies.remove(&relay);
             }
             Line::Event(text) => {
-                let relay = self.relay(&text)?;
+                let relay = self.current_instance(&text)?;
                 let name = text.split(' ').next().unwrap_or("");
                 let names = self.instances.get(&relay).map(|i| &i.names);
                 let names = names.ok_or_else(|| format!("{name}: relay {relay} has no INIT"))?;
-                if let Some(event) = wire::event(&text, names)? {
+                if let Some(event) = wire::parse_event(&text, names)? {
                     self.deliver(name, event)?;
                 }
             }
@@ -132,7 +132,7 @@
         for (relay, actions) in std::mem::take(&mut self.replies) {
             if !actions.is_empty() {
                 out.push_str(&format!("BY {relay}\n"));
-                actions.iter().for_each(|action| wire::print(action, &mut out));
+                actions.iter().for_each(|action| wire::write_action(action, &mut out));
             }
         }
         out.push_str("EOR\n");
@@ -140,8 +140,8 @@
     }
 }
 
-fn run() -> Result<(), Fault> {
-    let mut host = Host::default();
+fn run() -> Result<(), ParseError> {
+    let mut host = InstanceHost::default();
     let mut out = std::io::stdout().lock();
     let mut input = std::io::stdin().lock();
     let mut text = String::new();
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -8,7 +8,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// A complaint about a message, in one plain line.
-pub type Fault = String;
+pub type ParseError = String;
 
 /// One line of a batch.
 #[derive(Debug)]
@@ -38,15 +38,15 @@
 
 /// The names of one instance's settings: they turn words into indexes.
 #[derive(Debug, Default, Clone, PartialEq)]
-pub struct Names {
+pub struct NameIndex {
     classes: BTreeMap<String, usize>,
     zones: BTreeMap<String, u16>,
-    columns: Vec<String>,
+    report_columns: Vec<String>,
     /// What was wrong with the settings and is met with a default; one plain line each.
-    pub doubts: Vec<String>,
+    pub warnings: Vec<String>,
 }
 
-impl Names {
+impl NameIndex {
     /// Index of a class, if the settings name it.
     pub fn class(&self, name: &str) -> Option<usize> {
         self.classes.get(name).copied()
@@ -65,8 +65,8 @@
     }
 
     /// The values that a load report holds, in order.
-    pub fn columns(&self) -> &[String] {
-        &self.columns
+    pub fn report_columns(&self) -> &[String] {
+        &self.report_columns
     }
 }
 
@@ -205,12 +205,12 @@
 }
 
 /// Reads settings.
-pub fn settings(json: &str) -> Result<(Settings, Names), Fault> {
-    settings_value(serde_json::from_str(json).map_err(|e| format!("INIT settings: {e}"))?)
+pub fn parse_settings(json: &str) -> Result<(Settings, NameIndex), ParseError> {
+    parse_settings_value(serde_json::from_str(json).map_err(|e| format!("INIT settings: {e}"))?)
 }
 
 /// Reads settings that are parsed already.
-pub fn settings_value(mut value: serde_json::Value) -> Result<(Settings, Names), Fault> {
+pub fn parse_settings_value(mut value: serde_json::Value) -> Result<(Settings, NameIndex), ParseError> {
     drop_nulls(&mut value);
     let wire: WireSettings =
         serde_path_to_error::deserialize(value).map_err(|e| format!("INIT settings: {e}"))?;
@@ -226,13 +226,13 @@
             return Err(format!("INIT settings: {field} is negative"));
         }
     }
-    let mut names = Names { columns: wire.feedback.columns.clone(), ..Names::default() };
+    let mut names = NameIndex { report_columns: wire.feedback.columns.clone(), ..NameIndex::default() };
     for zone in &wire.zones {
         let next = names.zones.len() as u16;
         names.zones.entry(zone.clone()).or_insert(next);
     }
     let (relays, doubt) = relays(&wire.balancers);
-    names.doubts.extend(doubt);
+    names.warnings.extend(doubt);
     let next = names.zones.len() as u16;
     let zone = *names.zones.entry(wire.zone.clone()).or_insert(next);
     let mut classes = Vec::new();
@@ -314,23 +314,23 @@
         Fields { message, parts }
     }
 
-    fn text(&mut self, field: &str) -> Result<&'a str, Fault> {
+    fn text(&mut self, field: &str) -> Result<&'a str, ParseError> {
         match self.parts.next() {
             Some(part) if !part.is_empty() => Ok(part),
             _ => Err(format!("{}: field {field} is missing", self.message)),
         }
     }
 
-    fn bad(&self, field: &str, value: &str) -> Fault {
+    fn bad(&self, field: &str, value: &str) -> ParseError {
         format!("{}: field {field} has the bad value {value:?}", self.message)
     }
 
-    fn integer(&mut self, field: &str) -> Result<u64, Fault> {
+    fn integer(&mut self, field: &str) -> Result<u64, ParseError> {
         let part = self.text(field)?;
         part.parse().map_err(|_| self.bad(field, part))
     }
 
-    fn number(&mut self, field: &str) -> Result<f64, Fault> {
+    fn number(&mut self, field: &str) -> Result<f64, ParseError> {
         let part = self.text(field)?;
         match part.parse::<f64>() {
             Ok(value) if value.is_finite() => Ok(value),
@@ -338,7 +338,7 @@
         }
     }
 
-    fn maybe_number(&mut self, field: &str) -> Result<Option<f64>, Fault> {
+    fn maybe_number(&mut self, field: &str) -> Result<Option<f64>, ParseError> {
         let mut rest = self.parts.clone();
         if rest.next() == Some("-") {
             self.parts = rest;
@@ -347,11 +347,11 @@
         self.number(field).map(Some)
     }
 
-    fn time(&mut self, field: &str) -> Result<Micros, Fault> {
+    fn time(&mut self, field: &str) -> Result<Micros, ParseError> {
         self.number(field).map(micros)
     }
 
-    fn status(&mut self, field: &str) -> Result<Status, Fault> {
+    fn status(&mut self, field: &str) -> Result<Status, ParseError> {
         let part = self.text(field)?;
         Ok(match part {
             "200" => Status::Ok,
@@ -366,7 +366,7 @@
         })
     }
 
-    fn flag(&mut self, field: &str) -> Result<bool, Fault> {
+    fn flag(&mut self, field: &str) -> Result<bool, ParseError> {
         match self.text(field)? {
             "1" => Ok(true),
             "0" => Ok(false),
@@ -374,7 +374,7 @@
         }
     }
 
-    fn row(&mut self, field: &str) -> Result<Vec<f64>, Fault> {
+    fn row(&mut self, field: &str) -> Result<Vec<f64>, ParseError> {
         let part = self.text(field)?;
         if part == "-" {
             return Ok(Vec::new());
@@ -387,7 +387,7 @@
         part.split(',').map(value).collect()
     }
 
-    fn end<T>(mut self, value: T) -> Result<T, Fault> {
+    fn end<T>(mut self, value: T) -> Result<T, ParseError> {
         match self.parts.next() {
             None => Ok(value),
             Some(_) => Err(format!("{}: too many fields", self.message)),
@@ -396,7 +396,7 @@
 }
 
 /// Reads one line of a batch.
-pub fn line(text: &str) -> Result<Line, Fault> {
+pub fn parse_line(text: &str) -> Result<Line, ParseError> {
     let mut fields = Fields::of(text);
     match fields.message {
         "MARK" => {
@@ -447,7 +447,7 @@
 }
 
 /// Reads one entry of a list.
-pub fn entry(text: &str, names: &Names) -> Result<Member, Fault> {
+pub fn parse_member(text: &str, names: &NameIndex) -> Result<Member, ParseError> {
     let mut fields = Fields::of(text);
     let health = fields.text("health")?;
     let state = match health {
@@ -467,7 +467,7 @@
 }
 
 /// Reads the part that `ACCEPT` and `OPEN` share.
-fn request(fields: &mut Fields<'_>, names: &Names) -> Result<Request, Fault> {
+fn request(fields: &mut Fields<'_>, names: &NameIndex) -> Result<Request, ParseError> {
     let id = fields.integer("ref")?;
     let class = fields.text("tier-class")?;
     fields.text("tenant")?;
@@ -493,7 +493,7 @@
 }
 
 /// Reads an event; `None` for one that means nothing to this library.
-pub fn event(text: &str, names: &Names) -> Result<Option<Event>, Fault> {
+pub fn parse_event(text: &str, names: &NameIndex) -> Result<Option<Event>, ParseError> {
     let mut fields = Fields::of(text);
     let event = match fields.message {
         "ACCEPT" => Event::Request(request(&mut fields, names)?),
@@ -547,7 +547,7 @@
 }
 
 /// Prints one action as a line.
-pub fn print(action: &Action, out: &mut String) {
+pub fn write_action(action: &Action, out: &mut String) {
     let seconds = |t: Micros| format!("{}.{:06}", t / 1_000_000, t % 1_000_000);
     let written = match action {
         Action::Send { id, backend, until } => {
@@ -567,6 +567,6 @@
 }
 
 /// Turns the lines of a page into members, for one instance's zones.
-pub fn members(lines: &[String], names: &Names) -> Result<Arc<[Member]>, Fault> {
-    lines.iter().map(|text| entry(text, names)).collect()
+pub fn parse_members(lines: &[String], names: &NameIndex) -> Result<Arc<[Member]>, ParseError> {
+    lines.iter().map(|text| parse_member(text, names)).collect()
 }
--- a/crates/wire/tests/wire.rs
+++ b/crates/wire/tests/wire.rs
@@ -27,7 +27,7 @@
 
 #[test]
 fn settings_keep_what_is_stated_and_default_the_rest() {
-    let (settings, _) = wire::settings(&one_line()).unwrap();
+    let (settings, _) = wire::parse_settings(&one_line()).unwrap();
     assert_eq!(settings.proxies, 2);
     assert_eq!(settings.classes[0].deadline, 1_200_000);
     assert_eq!(settings.connect_timeout, 250_000);
@@ -37,9 +37,9 @@
 
 #[test]
 fn settings_that_lack_something_needed_name_the_key() {
-    let fault = wire::settings(r#"{"balancers": 2}"#).unwrap_err();
+    let fault = wire::parse_settings(r#"{"balancers": 2}"#).unwrap_err();
     assert!(fault.contains("classes"), "{fault}");
-    let fault = wire::settings(&one_line().replace("repeatable", "maybe")).unwrap_err();
+    let fault = wire::parse_settings(&one_line().replace("repeatable", "maybe")).unwrap_err();
     assert!(fault.contains("effect"), "{fault}");
 }
 
@@ -48,10 +48,10 @@
     let with = |more: &str| one_line().replace("\"weights\"", &format!("{more}, \"weights\""));
     let contract = r#""contract": {"extra-free": 3, "repeat-ratio": 0.03, "ratio-span": 5.0,
         "removal-not-binding": true}, "goal": {"nines-part": 0.2, "top-nines": 2.0}"#;
-    let (settings, _) = wire::settings(&with(contract)).unwrap();
+    let (settings, _) = wire::parse_settings(&with(contract)).unwrap();
     assert_eq!(settings.budget, Some(RetryBudget { min_retries: 3.0, ratio: 0.03, window: 5_000_000 }));
     assert!(!settings.exclude_removed);
-    let (settings, _) = wire::settings(&with(r#""contract": {"extra-free": null}"#)).unwrap();
+    let (settings, _) = wire::parse_settings(&with(r#""contract": {"extra-free": null}"#)).unwrap();
     assert_eq!((settings.budget, settings.exclude_removed), (None, true));
     for (bad, field) in [
         (r#""contract": {"extra-free": -1}"#, "contract.extra-free"),
@@ -60,7 +60,7 @@
         (r#""contract": {"removal-not-binding": 1}"#, "contract.removal-not-binding"),
         (r#""goal": {"top-nines": -2}"#, "goal.top-nines"),
     ] {
-        let fault = wire::settings(&with(bad)).unwrap_err();
+        let fault = wire::parse_settings(&with(bad)).unwrap_err();
         assert!(fault.contains(field) && !fault.contains('\n'), "{fault}");
         let out = host(&format!("MARK 1\nCONTEXT 0\nINIT 7 {}\nEOF_BATCH\n", with(bad)));
         assert!(!out.status.success(), "{field} is refused by the host too");
@@ -93,30 +93,30 @@
         ("\"deadline\": 1.2", "\"deadline\": 0", "classes[].deadline"),
         ("\"max-attempts\": 3", "\"max-attempts\": 0", "max_attempts"),
     ] {
-        let fault = wire::settings(&one_line().replace(from, to)).unwrap_err();
+        let fault = wire::parse_settings(&one_line().replace(from, to)).unwrap_err();
         assert_eq!(fault, format!("INIT settings: {field} is out of range"));
     }
 }
 
 #[test]
 fn entries_and_requests_are_read() {
-    let (_, names) = wire::settings(&one_line()).unwrap();
-    let member = wire::entry("M cordoned fast b 4 1.5 6.1 10.0.0.1:7000", &names).unwrap();
+    let (_, names) = wire::parse_settings(&one_line()).unwrap();
+    let member = wire::parse_member("M cordoned fast b 4 1.5 6.1 10.0.0.1:7000", &names).unwrap();
     assert_eq!((member.state, member.zone, member.cell), (MemberState::Draining, 1, 4));
     assert_eq!((member.weight, member.started), (1.5, 6_100_000));
-    let event = wire::event("ACCEPT 305 feed - user:k 8.65225 0.012 tpl/c 25", &names).unwrap();
+    let event = wire::parse_event("ACCEPT 305 feed - user:k 8.65225 0.012 tpl/c 25", &names).unwrap();
     let Some(Event::Request(request)) = event else { panic!("{event:?}") };
     assert_eq!((request.id, request.class, request.deadline), (305, 0, 8_652_250));
     assert_eq!(request.load_hint, Some(12_000.0));
     assert!(request.mid_flow && request.reconnecting);
-    let event = wire::event("ACCEPT 305 other - - 8 0.012 - 0", &names).unwrap();
+    let event = wire::parse_event("ACCEPT 305 other - - 8 0.012 - 0", &names).unwrap();
     let Some(Event::Request(request)) = event else { panic!("{event:?}") };
     assert_eq!((request.class, request.key, request.load_hint), (usize::MAX, None, None));
 }
 
 #[test]
 fn every_status_is_read_and_others_are_not() {
-    let (_, names) = wire::settings(&one_line()).unwrap();
+    let (_, names) = wire::parse_settings(&one_line()).unwrap();
     let all = [
         (200, Status::Ok),
         (502, Status::Error),
@@ -129,10 +129,10 @@
     ];
     for (code, status) in all {
         let text = format!("COMPLETED 7 0 0.5 10.0.0.1:7000 {code} 1 0.5,-,3");
-        let Some(Event::AttemptEnded(ended)) = wire::event(&text, &names).unwrap() else { panic!() };
+        let Some(Event::AttemptEnded(ended)) = wire::parse_event(&text, &names).unwrap() else { panic!() };
         assert_eq!((ended.status, ended.attempt, ended.latency), (status, 1, 500_000));
     }
-    let fault = wire::event("COMPLETED 7 0 0.5 10.0.0.1:7000 418 1 -", &names).unwrap_err();
+    let fault = wire::parse_event("COMPLETED 7 0 0.5 10.0.0.1:7000 418 1 -", &names).unwrap_err();
     assert_eq!(fault, "COMPLETED: field how has the bad value \"418\"");
 }
 
@@ -149,7 +149,7 @@
         Action::Timer(500_000, 77),
     ];
     let mut out = String::new();
-    actions.iter().for_each(|action| wire::print(action, &mut out));
+    actions.iter().for_each(|action| wire::write_action(action, &mut out));
     let expected = "HAND_OFF 5 10.0.0.1:7000 8.492250\nREJECT 5 0.250000\nREJECT 5 -\nGIVE_UP 5\nGO_AWAY 5\n\
                     SUBSCRIBE 1\nWAKE_ME 0.500000 77\n";
     assert_eq!(out, expected);
@@ -157,11 +157,17 @@
 
 #[test]
 fn lines_are_told_apart() {
-    assert!(matches!(wire::line("MARK 8.41225"), Ok(Line::Mark(8_412_250))));
-    assert!(matches!(wire::line("ROSTER_CHANGE 41 0 cached"), Ok(Line::Roster(ListKind::Full, Some(0)))));
-    assert!(matches!(wire::line("ROSTER_CHANGE 41 - failed"), Ok(Line::Roster(ListKind::Failed, None))));
+    assert!(matches!(wire::parse_line("MARK 8.41225"), Ok(Line::Mark(8_412_250))));
+    assert!(matches!(
+        wire::parse_line("ROSTER_CHANGE 41 0 cached"),
+        Ok(Line::Roster(ListKind::Full, Some(0)))
+    ));
+    assert!(matches!(
+        wire::parse_line("ROSTER_CHANGE 41 - failed"),
+        Ok(Line::Roster(ListKind::Failed, None))
+    ));
     for bad in ["", "NOISE 1", "MARK", "MARK x", "MARK inf", "MARK 1 2", "CONTEXT -1", "PAGE 16 1"] {
-        assert!(wire::line(bad).is_err(), "{bad:?}");
+        assert!(wire::parse_line(bad).is_err(), "{bad:?}");
     }
 }
 
@@ -209,25 +215,25 @@
 /// Guards against a proxy that will not start, or divides by nothing, over a count that it only tunes by.
 #[test]
 fn a_count_of_relays_that_cannot_be_is_met_with_a_default_and_one_doubt() {
-    let read = |stated: &str| wire::settings(&SETTINGS.replace("\"balancers\": 2,", stated)).unwrap();
+    let read = |stated: &str| wire::parse_settings(&SETTINGS.replace("\"balancers\": 2,", stated)).unwrap();
     let (settings, names) = read("\"balancers\": 100,");
-    assert_eq!((settings.proxies, names.doubts.len()), (100, 0));
+    assert_eq!((settings.proxies, names.warnings.len()), (100, 0));
     for stated in ["0", "-3", "2.5", "1e12", "99999999999", "\"many\"", "[1]", "null"] {
         let (settings, names) = read(&format!("\"balancers\": {stated},"));
         assert_eq!(settings.proxies, 1_000, "{stated}");
-        assert_eq!(names.doubts.len(), 1, "{stated}");
-        assert!(names.doubts[0].contains("balancers is"), "{}", names.doubts[0]);
+        assert_eq!(names.warnings.len(), 1, "{stated}");
+        assert!(names.warnings[0].contains("balancers is"), "{}", names.warnings[0]);
     }
     let (settings, names) = read("");
-    assert_eq!((settings.proxies, names.doubts.len()), (1_000, 1));
-    assert!(names.doubts[0].contains("balancers is not stated"), "{}", names.doubts[0]);
+    assert_eq!((settings.proxies, names.warnings.len()), (1_000, 1));
+    assert!(names.warnings[0].contains("balancers is not stated"), "{}", names.warnings[0]);
 }
 
 // Guards against sums of times that leave their range.
 #[test]
 fn times_beyond_thirty_years_count_as_that() {
     let classes = r#""classes":[{"name":"a","target":1e300,"deadline":1e300,"window":1e308}]"#;
-    let (settings, _) = pierloom_wire::settings(&format!("{{\"balancers\":3,{classes}}}")).unwrap();
+    let (settings, _) = pierloom_wire::parse_settings(&format!("{{\"balancers\":3,{classes}}}")).unwrap();
     let class = &settings.classes[0];
     assert_eq!([class.setup_target, class.deadline, class.repeat_window], [1_000_000_000_000_000; 3]);
 }
--- a/crates/world/src/net.rs
+++ b/crates/world/src/net.rs
@@ -5,7 +5,9 @@
 use crate::observer::Role;
 use crate::rng::Rng;
 use crate::sim::{Due, ProcessId, Sim, Sleep};
-use pierloom_host::{Host, Listening, Local, Machine, Micros, Signal, Signals, TcpListener, TcpStream, Wire};
+use pierloom_host::{
+    Host, ListenerIo, Local, Machine, Micros, Signal, Signals, StreamIo, TcpListener, TcpStream,
+};
 use rand::Rng as _;
 use std::any::Any;
 use std::cell::{Cell, RefCell};
@@ -467,7 +469,7 @@
     }
 }
 
-impl Wire for SimStream {
+impl StreamIo for SimStream {
     fn poll_readable(&self, context: &mut Context<'_>) -> Poll<()> {
         self.with(|net, connection, end| {
             let lost = self.bent(Bend::WakeLost) && net.rng.random_bool(0.02);
@@ -576,7 +578,7 @@
     _descriptor: Descriptor,
 }
 
-impl Listening for SimListener {
+impl ListenerIo for SimListener {
     fn poll_accept(&self, context: &mut Context<'_>) -> Poll<io::Result<(TcpStream, SocketAddr)>> {
         let mut net = self.sim.net.borrow_mut();
         let Some(listener) = net.listeners.get_mut(&self.address) else {
@@ -592,7 +594,7 @@
         };
         let connection = listener.pending.pop_front().unwrap_or_default();
         let stream = SimStream { sim: self.sim.clone(), connection, end: 1, descriptor };
-        Poll::Ready(Ok((TcpStream::made(stream), self.address)))
+        Poll::Ready(Ok((TcpStream::from_io(stream), self.address)))
     }
 
     fn address(&self) -> SocketAddr {
@@ -694,7 +696,7 @@
                 }
                 Stage::Coming(sleep, stream) => {
                     std::task::ready!(Pin::new(sleep).poll(context));
-                    let made = stream.take().map(TcpStream::made);
+                    let made = stream.take().map(TcpStream::from_io);
                     return Poll::Ready(made.ok_or_else(|| io::ErrorKind::ConnectionRefused.into()));
                 }
             }
@@ -749,13 +751,13 @@
         };
         net.listeners.insert(at, listener);
         let (sim, process) = (self.sim.clone(), self.process.clone());
-        Ok(TcpListener::made(SimListener { sim, process, address: at, _descriptor: descriptor }))
+        Ok(TcpListener::from_io(SimListener { sim, process, address: at, _descriptor: descriptor }))
     }
 
     fn signals(&self, which: Signal) -> io::Result<Signals> {
         let (sender, arrivals) = unbounded_channel();
         self.process.signals.borrow_mut().insert(which, sender);
-        Ok(Signals::made(arrivals))
+        Ok(Signals::from_channel(arrivals))
     }
 
     fn read_file(&self, path: &Path) -> io::Result<Vec<u8>> {
@@ -763,11 +765,11 @@
         files.get(&path.display().to_string()).cloned().ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 
-    fn variable(&self, name: &str) -> Option<String> {
+    fn env_var(&self, name: &str) -> Option<String> {
         self.process.variables.get(name).cloned()
     }
 
-    fn spare_descriptor(&self) -> Option<Box<dyn Any>> {
+    fn reserve_descriptor(&self) -> Option<Box<dyn Any>> {
         Descriptor::take(&self.process).ok().map(|descriptor| Box::new(descriptor) as Box<dyn Any>)
     }
 }
--- a/crates/world/src/real.rs
+++ b/crates/world/src/real.rs
@@ -76,19 +76,19 @@
     fn signals(&self, _: Signal) -> io::Result<Signals> {
         let (sender, arrivals) = unbounded_channel();
         self.0.signals.borrow_mut().push(sender);
-        Ok(Signals::made(arrivals))
+        Ok(Signals::from_channel(arrivals))
     }
 
     fn read_file(&self, _: &Path) -> io::Result<Vec<u8>> {
         Ok(self.0.config.clone())
     }
 
-    fn variable(&self, _: &str) -> Option<String> {
+    fn env_var(&self, _: &str) -> Option<String> {
         None
     }
 
-    fn spare_descriptor(&self) -> Option<Box<dyn Any>> {
-        self.0.os.spare_descriptor()
+    fn reserve_descriptor(&self) -> Option<Box<dyn Any>> {
+        self.0.os.reserve_descriptor()
     }
 }
 
