--- a/crates/decision/src/fair_share.rs
+++ b/crates/decision/src/fair_share.rs
@@ -37,9 +37,9 @@
 
 /// Arrivals a second at a fleet that holds so many connections when full, which live so long: `seen` came to one of its
 /// relays within `SEEN`, besides the one that asks.
-fn arrivals(seen: usize, holds: f64, life: f64, relays: f64) -> f64 {
+fn arrivals(seen: usize, holds: f64, life: f64, proxies: f64) -> f64 {
     let (usual, span) = (holds * USUAL / life, SEEN as f64 / 1e6);
-    (usual + relays * seen as f64 / span) / 2.0
+    (usual + proxies * seen as f64 / span) / 2.0
 }
 
 /// The part of those who arrive while nobody sees what the others do that finds room: `room` is free of a fleet that
@@ -50,10 +50,10 @@
 
 /// A number from 0 to 1 by the relay, the request and the second: asking again at once draws no other, and relays that
 /// number their requests alike do not draw alike.
-fn lot(relay: u64, id: u64, now: Micros) -> f64 {
-    let mut of_relay = fastrand::Rng::with_seed(relay);
+fn lot(proxy: u64, id: u64, now: Micros) -> f64 {
+    let mut of_proxy = fastrand::Rng::with_seed(proxy);
     fastrand::Rng::with_seed(
-        of_relay.u64(..) ^ id.wrapping_mul(0x9E37_79B9_7F4A_7C15) ^ (now / EVALUATION_INTERVAL_US),
+        of_proxy.u64(..) ^ id.wrapping_mul(0x9E37_79B9_7F4A_7C15) ^ (now / EVALUATION_INTERVAL_US),
     )
     .f64()
 }
@@ -74,11 +74,11 @@
 
     /// Our part of the connections that all may open in a window at backends of that size, were they warm.
     pub(crate) fn slow_start_quota(&self, size: f64, part: f64) -> f64 {
-        let (window, relays) = (
+        let (window, proxies) = (
             self.settings.overload_window as f64 / self.settings.slow_start_duration as f64,
             self.settings.proxies,
         );
-        size * self.unit_holds() * part * self.settings.overload_multiple * window / f64::from(relays)
+        size * self.unit_holds() * part * self.settings.overload_multiple * window / f64::from(proxies)
     }
 
     /// Of few relays: our part of a cold budget, saved up to now. A backend can do what it took
--- a/crates/decision/src/fair_share/tests.rs
+++ b/crates/decision/src/fair_share/tests.rs
@@ -39,7 +39,7 @@
 fn a_lot_is_even_and_holds_for_a_second_at_one_relay() {
     for mean in [
         (0..1_000).map(|id| lot(1, id, 7 * EVALUATION_INTERVAL_US)).sum::<f64>() / 1_000.0,
-        (0..1_000).map(|relay| lot(relay, 3, 7 * EVALUATION_INTERVAL_US)).sum::<f64>() / 1_000.0,
+        (0..1_000).map(|proxy| lot(proxy, 3, 7 * EVALUATION_INTERVAL_US)).sum::<f64>() / 1_000.0,
     ] {
         assert!((mean - 0.5).abs() < 0.03, "{mean}");
     }
--- a/crates/decision/src/logic.rs
+++ b/crates/decision/src/logic.rs
@@ -118,8 +118,8 @@
             Event::Members { kind, .. } if self.freshness.record_update(now, kind) => self.ask(out),
             Event::Members { kind, members } => self.on_members(now, kind, &members, out),
             Event::LearnedState(learned) => self.restore_learned_state(*learned),
-            Event::Maintenance(backend, withheld) => {
-                self.set_maintenance(now, &backend, withheld);
+            Event::Maintenance(backend, in_maintenance) => {
+                self.set_maintenance(now, &backend, in_maintenance);
                 self.on_members(now, ListKind::Delta, &[], out);
             }
             Event::Request(request) => self.on_request(now, request, out),
--- a/crates/decision/src/state.rs
+++ b/crates/decision/src/state.rs
@@ -345,11 +345,11 @@
 
     /// Enters a standing connection at a backend, or takes it out.
     pub(crate) fn set_established(&mut self, i: usize, id: RequestId, enter: bool) {
-        let standing = &mut self.backends[i].established;
+        let established = &mut self.backends[i].established;
         if enter {
-            standing.insert(id);
+            established.insert(id);
             self.backends_in_use.insert(i);
-        } else if standing.remove(&id) && standing.is_empty() {
+        } else if established.remove(&id) && established.is_empty() {
             self.backends_in_use.remove(&i);
         }
     }
@@ -471,8 +471,8 @@
     /// Enters those standing at a backend among the ones to be moved off, once each; whether they are the first.
     pub(crate) fn queue_moves(&mut self, i: usize) -> bool {
         let idle = self.move_queue.is_empty();
-        let standing = self.backends[i].established.iter();
-        let new: Vec<_> = standing.copied().filter(|id| !self.move_queue.contains(id)).collect();
+        let established = self.backends[i].established.iter();
+        let new: Vec<_> = established.copied().filter(|id| !self.move_queue.contains(id)).collect();
         self.move_queue.extend(new);
         idle && !self.move_queue.is_empty()
     }
@@ -501,9 +501,9 @@
         let next = self.backends.len();
         let i = *self.index.entry(member.backend.clone()).or_insert(next);
         if i == next {
-            let withheld = self.backends_in_maintenance.contains(&member.backend);
+            let in_maintenance = self.backends_in_maintenance.contains(&member.backend);
             self.backends.push(Backend {
-                in_maintenance: withheld,
+                in_maintenance,
                 maintenance_since: now,
                 ..Backend::new(member, now)
             });
@@ -537,14 +537,14 @@
 
     /// Enters that staff withhold a backend, or gave it back. They restart it meanwhile: unless the list told of
     /// a later start, it counts as started now, with our part of its cold budget for the first connection.
-    pub(crate) fn set_maintenance(&mut self, now: Micros, backend: &BackendId, withheld: bool) {
-        let changed = match withheld {
+    pub(crate) fn set_maintenance(&mut self, now: Micros, backend: &BackendId, in_maintenance: bool) {
+        let changed = match in_maintenance {
             true => self.backends_in_maintenance.insert(backend.clone()),
             false => self.backends_in_maintenance.remove(backend),
         };
         let Some(&i) = self.index.get(backend).filter(|_| changed) else { return };
-        self.backends[i].in_maintenance = withheld;
-        if withheld {
+        self.backends[i].in_maintenance = in_maintenance;
+        if in_maintenance {
             return self.backends[i].maintenance_since = now;
         }
         let told = Some(self.backends[i].started).filter(|&at| at > self.backends[i].maintenance_since);
