--- a/crates/decision/src/learned_state.rs
+++ b/crates/decision/src/learned_state.rs
@@ -48,16 +48,16 @@
 pub type ClockOffset = i64;
 
 /// A time of a clock, by one that is so far before it; what never was stays so.
-pub fn moved(at: Micros, by: ClockOffset) -> Micros {
+pub fn with_clock_offset(at: Micros, by: ClockOffset) -> Micros {
     if at == 0 { 0 } else { at.saturating_add_signed(by) }
 }
 
 impl LearnedState {
     /// The same by a clock that is so far before the one by which its times were written.
-    pub fn moved(mut self, by: ClockOffset) -> Self {
-        self.since = self.since.map(|at| moved(at, by));
-        self.updated_at = self.updated_at.map(|at| moved(at, by));
-        self.slow_start_slots.iter_mut().for_each(|(at, _)| *at = moved(*at, by));
+    pub fn with_clock_offset(mut self, by: ClockOffset) -> Self {
+        self.since = self.since.map(|at| with_clock_offset(at, by));
+        self.updated_at = self.updated_at.map(|at| with_clock_offset(at, by));
+        self.slow_start_slots.iter_mut().for_each(|(at, _)| *at = with_clock_offset(*at, by));
         for known in self.backends.values_mut() {
             let times = [
                 &mut known.started,
@@ -67,7 +67,7 @@
                 &mut known.shed_until,
                 &mut known.tokens_at,
             ];
-            times.into_iter().for_each(|at| *at = moved(*at, by));
+            times.into_iter().for_each(|at| *at = with_clock_offset(*at, by));
         }
         self
     }
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -30,7 +30,7 @@
 mod table;
 
 pub use api::*;
-pub use learned_state::{ClockOffset, LearnedState, moved};
+pub use learned_state::{ClockOffset, LearnedState, with_clock_offset};
 pub use logic::Balancer;
 
 /// Keeps the example in the README compiling and running.
--- a/crates/decision/tests/starts.rs
+++ b/crates/decision/tests/starts.rs
@@ -77,7 +77,7 @@
         let mut before = Driver { balancer: Balancer::new(settings.clone(), 7).unwrap(), now: 10 * HOUR };
         before.list(ListKind::Full, members(3));
         before.now += 5 * S;
-        let learned = before.balancer.learned_state().moved(clocks_apart);
+        let learned = before.balancer.learned_state().with_clock_offset(clocks_apart);
         let now = (before.now as i64 + clocks_apart) as Micros;
         let mut after = Driver { balancer: Balancer::new(settings, 8).unwrap(), now };
         after.list(ListKind::Full, members(3));
--- a/crates/lab/src/defects.rs
+++ b/crates/lab/src/defects.rs
@@ -2,8 +2,8 @@
 //! experiments and tests only; the proxy's own program links nothing of this.
 
 use pierloom_decision::{Action, BackendId, Balancer, Event, Member, MemberState, Micros};
-use pierloom_proxy::front::{First, Front, Reply};
-use pierloom_proxy::{Decide, Parts};
+use pierloom_proxy::protocol::{ClientMessage, Protocol, Reply};
+use pierloom_proxy::{Components, DecisionModule};
 use pierloom_world::net::Bend;
 use pierloom_world::run::Build;
 use std::rc::Rc;
@@ -113,11 +113,11 @@
     /// Builds proxies that have it.
     pub fn build(self) -> Build {
         Rc::new(move |config| {
-            let parts = Parts::of(config)?;
+            let parts = Components::from_config(config)?;
             let module = Balancer::new(config.settings.clone(), config.seed).map_err(|e| e.to_string())?;
             let module = Box::new(Module { defect: self, inner: module, late: Vec::new(), notes: 0 });
-            let front = Rc::new(Bent { defect: self, inner: parts.front });
-            Ok(Parts { module, front })
+            let front = Rc::new(Bent { defect: self, inner: parts.protocol });
+            Ok(Components { module, protocol: front })
         })
     }
 }
@@ -148,12 +148,12 @@
     }
 }
 
-impl Decide for Module {
-    fn books(&self) -> &Balancer {
+impl DecisionModule for Module {
+    fn balancer(&self) -> &Balancer {
         &self.inner
     }
 
-    fn decide(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
+    fn handle_event(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         let event = match event {
             Event::Members { kind, members } => {
                 Event::Members { kind, members: members.iter().map(|member| self.member(member)).collect() }
@@ -206,12 +206,12 @@
 
 struct Bent {
     defect: Defect,
-    inner: Rc<dyn Front>,
+    inner: Rc<dyn Protocol>,
 }
 
-struct BentOpening(Box<dyn pierloom_proxy::front::Opening>);
+struct BentOpening(Box<dyn pierloom_proxy::protocol::ClientRequest>);
 
-impl pierloom_proxy::front::Opening for BentOpening {
+impl pierloom_proxy::protocol::ClientRequest for BentOpening {
     fn request(&self) -> pierloom_decision::Request {
         self.0.request()
     }
@@ -220,38 +220,38 @@
         self.0.identity()
     }
 
-    fn wait(&self) -> Micros {
-        self.0.wait()
+    fn timeout(&self) -> Micros {
+        self.0.timeout()
     }
 
-    fn standing_at(&self) -> Option<BackendId> {
-        self.0.standing_at()
+    fn resume_backend(&self) -> Option<BackendId> {
+        self.0.resume_backend()
     }
 
-    fn for_node(&self, wait: Micros) -> Vec<u8> {
-        let line = String::from_utf8_lossy(&self.0.for_node(wait)).into_owned();
+    fn encode_for_backend(&self, wait: Micros) -> Vec<u8> {
+        let line = String::from_utf8_lossy(&self.0.encode_for_backend(wait)).into_owned();
         let kept: Vec<&str> = line.trim_end().split(',').filter(|field| !field.starts_with("g=")).collect();
         format!("{}\r\n", kept.join(",")).into_bytes()
     }
 }
 
-impl Front for Bent {
-    fn first(&self, line: &[u8]) -> First {
-        match self.inner.first(line) {
-            First::Job(opening) if self.defect == Defect::OpeningChanged => {
-                First::Job(Box::new(BentOpening(opening)))
+impl Protocol for Bent {
+    fn parse_client_line(&self, line: &[u8]) -> ClientMessage {
+        match self.inner.parse_client_line(line) {
+            ClientMessage::Request(opening) if self.defect == Defect::OpeningChanged => {
+                ClientMessage::Request(Box::new(BentOpening(opening)))
             }
-            First::Malformed if self.defect == Defect::BadIgnored => First::Answer(b""),
+            ClientMessage::Malformed if self.defect == Defect::BadIgnored => ClientMessage::Immediate(b""),
             first => first,
         }
     }
 
-    fn reply(&self, line: &[u8]) -> Reply {
-        self.inner.reply(line)
+    fn parse_backend_line(&self, line: &[u8]) -> Reply {
+        self.inner.parse_backend_line(line)
     }
 
-    fn report(&self, line: &[u8]) -> Vec<f64> {
-        self.inner.report(line)
+    fn parse_load_report(&self, line: &[u8]) -> Vec<f64> {
+        self.inner.parse_load_report(line)
     }
 
     fn load_query(&self) -> &'static [u8] {
--- a/crates/pierloom/src/main.rs
+++ b/crates/pierloom/src/main.rs
@@ -7,8 +7,8 @@
 use argh::FromArgs;
 use pierloom_host::Host;
 use pierloom_host::retry::retry_with_backoff_blocking;
-use pierloom_proxy::config::{self, Config, Fault};
-use pierloom_proxy::{Handlers, Parts};
+use pierloom_proxy::config::{self, Config, ErrorMessage};
+use pierloom_proxy::{Components, SignalHandlers};
 use settings::{Format, Settings};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -62,16 +62,16 @@
 /// Exit code for a config that cannot be used.
 const BAD_CONFIG: u8 = 2;
 
-fn config(host: &Host, path: Option<PathBuf>) -> Result<Config, Fault> {
+fn config(host: &Host, path: Option<PathBuf>) -> Result<Config, ErrorMessage> {
     let path = path.or_else(|| host.env_var("LB_CONFIG").map(PathBuf::from));
     config::read(host, &path.ok_or("config: LB_CONFIG is not set")?)
 }
 
-fn own_settings(host: &Host, path: Option<&Path>) -> Result<Settings, Fault> {
+fn own_settings(host: &Host, path: Option<&Path>) -> Result<Settings, ErrorMessage> {
     path.map_or_else(|| Ok(Settings::default()), |path| Settings::read(host, path))
 }
 
-fn check(host: &Host, check: Check) -> Result<String, Fault> {
+fn check(host: &Host, check: Check) -> Result<String, ErrorMessage> {
     own_settings(host, check.settings.as_deref())?;
     match check.settings {
         Some(path) if check.config.is_none() && host.env_var("LB_CONFIG").is_none() => {
@@ -86,17 +86,17 @@
 }
 
 /// Installs the handlers of signals first, as whatever comes before would be ended by one.
-fn prepare(host: &Host) -> Result<(Runtime, Handlers), Fault> {
+fn prepare(host: &Host) -> Result<(Runtime, SignalHandlers), ErrorMessage> {
     let build = || tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = retry_with_backoff_blocking(build).map_err(|e| format!("runtime: {e}"))?;
     let handlers = {
         let _entered = runtime.enter();
-        Handlers::install(host)?
+        SignalHandlers::install(host)?
     };
     Ok((runtime, handlers))
 }
 
-fn serve(host: &Host, asked: &Serve) -> Result<ExitCode, Fault> {
+fn serve(host: &Host, asked: &Serve) -> Result<ExitCode, ErrorMessage> {
     let (runtime, handlers) = prepare(host)?;
     let read = own_settings(host, asked.settings.as_deref())
         .and_then(|settings| Ok((settings, config(host, None)?)));
@@ -106,7 +106,7 @@
     };
     settings.log.format = asked.log_format.unwrap_or(settings.log.format);
     logs::start(&settings.log);
-    let parts = Parts::of(&config)?;
+    let parts = Components::from_config(&config)?;
     LocalSet::new().block_on(&runtime, pierloom_proxy::run(host.clone(), handlers, config, parts))?;
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/proxy/src/console.rs
+++ b/crates/proxy/src/console.rs
@@ -1,9 +1,9 @@
 //! The second address, for staff: HTTP/1.1, one call per connection. It decides nothing.
 
-use crate::config::Fault;
+use crate::config::ErrorMessage;
 use crate::core::Core;
-use crate::pending::{Pending, Place};
-use crate::upgrade::{Mark, Upgrades};
+use crate::pending::{PendingConnections, PendingSlot};
+use crate::upgrade::{MaintenanceResult, Upgrades};
 use http_body_util::Full;
 use hyper::body::{Bytes, Incoming};
 use hyper::header::{ALLOW, CONTENT_TYPE, HeaderValue};
@@ -32,21 +32,21 @@
 const ACCEPT_PAUSE: Micros = 20_000;
 
 /// The most callers at once, where the process may hold so many descriptors.
-pub fn places(sockets: usize) -> usize {
+pub fn max_connections(sockets: usize) -> usize {
     (sockets / PLACES_PART).clamp(PLACES_LEAST, PLACES_MOST)
 }
 
 /// Takes staff's calls in.
 pub struct Console {
     listener: TcpListener,
-    pending: Rc<Pending>,
+    pending: Rc<PendingConnections>,
 }
 
 impl Console {
-    pub fn bind(host: &Host, address: SocketAddr, sockets: usize) -> Result<Self, Fault> {
+    pub fn bind(host: &Host, address: SocketAddr, sockets: usize) -> Result<Self, ErrorMessage> {
         let listener =
             host.listen(address, BACKLOG, false).map_err(|e| format!("console: {address}: {e}"))?;
-        Ok(Console { listener, pending: Pending::new(places(sockets)) })
+        Ok(Console { listener, pending: PendingConnections::new(max_connections(sockets)) })
     }
 
     pub fn address(&self) -> SocketAddr {
@@ -56,7 +56,7 @@
     /// Accepts for ever; each call is a task of its own, where a panic stays.
     pub async fn serve(self: Rc<Self>, core: Rc<Core>, upgrades: Rc<Upgrades>) {
         loop {
-            let place = self.pending.enter(&core).await;
+            let place = self.pending.acquire_slot(&core).await;
             match self.listener.accept().await {
                 Ok((stream, _)) => drop(core.host.spawn(call(core.clone(), upgrades.clone(), stream, place))),
                 Err(e) => {
@@ -69,7 +69,7 @@
 }
 
 /// Hears one call and answers it. What is no whole call in time, or stands in another's way, is closed.
-async fn call(core: Rc<Core>, upgrades: Rc<Upgrades>, stream: TcpStream, place: Place) {
+async fn call(core: Rc<Core>, upgrades: Rc<Upgrades>, stream: TcpStream, place: PendingSlot) {
     stream.set_nodelay();
     let served = {
         let core = core.clone();
@@ -86,7 +86,7 @@
         // How it ended is the caller's to know.
         _ = http.serve_connection(TokioIo::new(stream), served) => {}
         () = core.deadlines.until(core.now() + CALL) => {}
-        () = place.wanted() => {}
+        () = place.evicted() => {}
     }
 }
 
@@ -112,18 +112,20 @@
     match path[..] {
         ["healthcheck"] if get && upgrades.serving() => said(StatusCode::OK, "serving\n"),
         ["healthcheck"] if get => said(StatusCode::SERVICE_UNAVAILABLE, "not yet\n"),
-        ["stats"] if get => said(StatusCode::OK, core.figures_text()),
+        ["stats"] if get => said(StatusCode::OK, core.metrics_text()),
         ["healthcheck" | "stats"] => wrong_method("GET"),
-        ["label-servers", node, order @ ("maint" | "ready")] if request.method() == Method::POST => {
-            let (node, withheld) = (percent_decode_str(node).decode_utf8_lossy(), order == "maint");
-            match upgrades.withhold(&node, withheld) {
-                Mark::Unknown => return said(StatusCode::NOT_FOUND, "no machine list ever named it\n"),
-                Mark::Unwritten => {
+        ["label-servers", backend, order @ ("maint" | "ready")] if request.method() == Method::POST => {
+            let (backend, withheld) = (percent_decode_str(backend).decode_utf8_lossy(), order == "maint");
+            match upgrades.set_maintenance(&backend, withheld) {
+                MaintenanceResult::UnknownBackend => {
+                    return said(StatusCode::NOT_FOUND, "no machine list ever named it\n");
+                }
+                MaintenanceResult::NotPersisted => {
                     return said(StatusCode::SERVICE_UNAVAILABLE, "in force, but not written down yet\n");
                 }
-                Mark::Kept => {}
+                MaintenanceResult::Persisted => {}
             }
-            tracing::info!(target: "console", "{node}: {order}");
+            tracing::info!(target: "console", "{backend}: {order}");
             said(StatusCode::OK, if withheld { "nothing new goes there\n" } else { "in use\n" })
         }
         ["label-servers", _, "maint" | "ready"] => wrong_method("POST"),
--- a/crates/proxy/src/deadlines.rs
+++ b/crates/proxy/src/deadlines.rs
@@ -55,7 +55,7 @@
     }
 
     /// Waits until something is due, wakes the tasks that it concerns and returns the module's tokens.
-    pub async fn sweep(&self) -> Vec<u64> {
+    pub async fn wait_due(&self) -> Vec<u64> {
         loop {
             let first = self.entries.borrow().first_key_value().map(|(&(at, _), _)| at);
             let now = self.now();
--- a/crates/proxy/src/ledger.rs
+++ b/crates/proxy/src/event_counts.rs
@@ -10,32 +10,32 @@
 const SECOND: Micros = 1_000_000;
 
 /// What the machine list says of a backend, as far as the ledger counts by it.
-struct Node {
+struct Backend {
     zone: u16,
     /// When it last started; Unix time in microseconds, 0 for long ago.
     started: Micros,
 }
 
 /// Counts of the second that is open. Nothing is written for a second in which nothing happened.
-pub struct Ledger {
+pub struct EventCounts {
     zone: u16,
     cold: Micros,
     second: u64,
     counts: BTreeMap<&'static str, u64>,
-    nodes: BTreeMap<BackendId, Node>,
+    backends: BTreeMap<BackendId, Backend>,
     /// When the machine list was last told, or a watch on it answered.
     listed: Micros,
     standing: u64,
 }
 
-impl Ledger {
+impl EventCounts {
     pub fn new(settings: &Settings, now: Micros) -> Self {
-        Ledger {
+        EventCounts {
             zone: settings.zone,
             cold: settings.slow_start_duration,
             second: now / SECOND,
             counts: BTreeMap::new(),
-            nodes: BTreeMap::new(),
+            backends: BTreeMap::new(),
             listed: now,
             standing: 0,
         }
@@ -46,7 +46,7 @@
     }
 
     /// Closes the second that is open, if `now` is past it; its line.
-    pub fn turn(&mut self, now: Micros) -> Option<String> {
+    pub fn finish_second(&mut self, now: Micros) -> Option<String> {
         let second = std::mem::replace(&mut self.second, now / SECOND);
         if second == self.second || self.counts.is_empty() {
             return None;
@@ -61,7 +61,7 @@
     }
 
     /// Counts what the module is told.
-    pub fn told(&mut self, now: Micros, event: &Event) {
+    pub fn count_event(&mut self, now: Micros, event: &Event) {
         match event {
             Event::Request(_) => self.add("jobs", 1),
             Event::Resumed(..) => {
@@ -91,8 +91,8 @@
                 }
                 self.listed = now;
                 for member in members.iter().filter(|member| member.state != MemberState::Gone) {
-                    let node = Node { zone: member.zone, started: member.started };
-                    self.nodes.insert(member.backend.clone(), node);
+                    let backend = Backend { zone: member.zone, started: member.started };
+                    self.backends.insert(member.backend.clone(), backend);
                 }
             }
             Event::Maintenance(_, true) => self.add("withheld", 1),
@@ -122,12 +122,13 @@
     }
 
     /// Counts what the module wants done, and for moves what it was told when it wanted them.
-    pub fn wanted(&mut self, now: Micros, action: &Action, cause: Cause) {
+    pub fn count_action(&mut self, now: Micros, action: &Action, trigger: ActionTrigger) {
         match action {
             Action::Send { backend, .. } => {
                 self.add("claims", 1);
-                let Some(node) = self.nodes.get(backend) else { return };
-                let (far, cold) = (node.zone != self.zone, node.started + self.cold > now);
+                let Some(listed_backend) = self.backends.get(backend) else { return };
+                let (far, cold) =
+                    (listed_backend.zone != self.zone, listed_backend.started + self.cold > now);
                 if far {
                     self.add("claims_far", 1);
                 }
@@ -137,7 +138,7 @@
             }
             Action::Refuse { .. } => self.add("refused", 1),
             Action::Fail(_) => self.add("failed", 1),
-            Action::Move(_) => self.add(cause.moves(), 1),
+            Action::Move(_) => self.add(trigger.moves(), 1),
             Action::Probe(_) => self.add("probes", 1),
             Action::Subscribe => self.add("list_calls", 1),
             Action::Timer(..) => {}
@@ -147,7 +148,7 @@
 
 /// What the module was told when it wanted something.
 #[derive(Clone, Copy)]
-pub enum Cause {
+pub enum ActionTrigger {
     Load,
     Delay,
     Silence,
@@ -156,27 +157,27 @@
     Other,
 }
 
-impl Cause {
-    pub fn of(event: &Event) -> Self {
+impl ActionTrigger {
+    pub fn from_event(event: &Event) -> Self {
         match event {
-            Event::Measured(_, Measurement::Load(_)) => Cause::Load,
-            Event::Measured(_, Measurement::Delay(_)) => Cause::Delay,
-            Event::Measured(_, Measurement::Unanswered(_)) => Cause::Silence,
-            Event::Probed { .. } => Cause::Report,
-            Event::Established { .. } => Cause::SetUp,
-            _ => Cause::Other,
+            Event::Measured(_, Measurement::Load(_)) => ActionTrigger::Load,
+            Event::Measured(_, Measurement::Delay(_)) => ActionTrigger::Delay,
+            Event::Measured(_, Measurement::Unanswered(_)) => ActionTrigger::Silence,
+            Event::Probed { .. } => ActionTrigger::Report,
+            Event::Established { .. } => ActionTrigger::SetUp,
+            _ => ActionTrigger::Other,
         }
     }
 
     fn moves(self) -> &'static str {
         match self {
-            Cause::Load => "moves_load",
-            Cause::Delay => "moves_delay",
-            Cause::Silence => "moves_silent",
-            Cause::Report => "moves_report",
-            Cause::SetUp => "moves_set_up",
+            ActionTrigger::Load => "moves_load",
+            ActionTrigger::Delay => "moves_delay",
+            ActionTrigger::Silence => "moves_silent",
+            ActionTrigger::Report => "moves_report",
+            ActionTrigger::SetUp => "moves_set_up",
             // Only leaving backends are emptied by the clock.
-            Cause::Other => "moves_leaving",
+            ActionTrigger::Other => "moves_leaving",
         }
     }
 }
@@ -188,22 +189,22 @@
 
     #[test]
     fn a_second_is_one_line_and_an_empty_one_none() {
-        let mut ledger = Ledger::new(&Settings::default(), 100 * SECOND);
+        let mut counts = EventCounts::new(&Settings::default(), 100 * SECOND);
         let mut cold = Member::ready("n1");
         (cold.started, cold.zone) = (99 * SECOND, 1);
         let members = vec![cold].into();
-        ledger.told(100 * SECOND, &Event::Members { kind: ListKind::Full, members });
+        counts.count_event(100 * SECOND, &Event::Members { kind: ListKind::Full, members });
         let send = Action::Send { id: 1, backend: "n1".into(), until: 0 };
-        ledger.wanted(100 * SECOND, &send, Cause::Other);
-        ledger.told(100 * SECOND, &Event::Established { id: 1, attempt: 0, latency: 30_000 });
-        ledger.wanted(100 * SECOND, &Action::Move(1), Cause::Report);
-        assert_eq!(ledger.turn(100 * SECOND + 999_999), None, "the second is open");
-        let line = ledger.turn(103 * SECOND).unwrap();
+        counts.count_action(100 * SECOND, &send, ActionTrigger::Other);
+        counts.count_event(100 * SECOND, &Event::Established { id: 1, attempt: 0, latency: 30_000 });
+        counts.count_action(100 * SECOND, &Action::Move(1), ActionTrigger::Report);
+        assert_eq!(counts.finish_second(100 * SECOND + 999_999), None, "the second is open");
+        let line = counts.finish_second(103 * SECOND).unwrap();
         assert_eq!(
             line,
             "at=100 claims=1 claims_cold=1 claims_far=1 lists_whole=1 moves_report=1 up=1 up_wait_ms=30 \
              standing=1 list_age_ms=1000"
         );
-        assert_eq!(ledger.turn(104 * SECOND), None, "nothing happened");
+        assert_eq!(counts.finish_second(104 * SECOND), None, "nothing happened");
     }
 }
--- a/crates/proxy/src/listener.rs
+++ b/crates/proxy/src/listener.rs
@@ -1,12 +1,12 @@
 //! Takes clients in: the listener, pending connections, and the bound on jobs.
 
-use crate::config::Fault;
+use crate::config::ErrorMessage;
 use crate::core::Core;
-use crate::figures::Final;
-use crate::front::{First, Front, Opening};
-use crate::job;
-use crate::pending::{Pending, Place};
-use crate::stream::{LONGEST_LINE, answer, first_line, read_line, write_all};
+use crate::metrics::FinalAnswer;
+use crate::pending::{PendingConnections, PendingSlot};
+use crate::protocol::{ClientMessage, ClientRequest, Protocol};
+use crate::request_handler;
+use crate::stream::{MAX_LINE_BYTES, first_line, read_line, send_and_close, write_all};
 use pierloom_decision::Micros;
 use pierloom_host::{Host, TcpListener, TcpStream};
 use std::any::Any;
@@ -52,15 +52,15 @@
     changed: Notify,
     /// Those being told the last who have no place any more.
     parting: Cell<usize>,
-    pending: Rc<Pending>,
+    pending: Rc<PendingConnections>,
     /// A descriptor to give up when there is none left to accept with.
     spare: RefCell<Option<Box<dyn Any>>>,
 }
 
 impl Listener {
     /// Listens there; beside another process of the same address, where that is wanted.
-    pub fn bind(host: &Host, address: SocketAddr, beside: bool) -> Result<TcpListener, Fault> {
-        host.listen(address, BACKLOG, beside).map_err(|e| format!("listen: {address}: {e}"))
+    pub fn bind(host: &Host, address: SocketAddr, reuse_port: bool) -> Result<TcpListener, ErrorMessage> {
+        host.listen(address, BACKLOG, reuse_port).map_err(|e| format!("listen: {address}: {e}"))
     }
 
     /// For as many jobs as `sockets` descriptors allow once `reserved` are taken for other ends.
@@ -75,29 +75,29 @@
             closed: Cell::new(false),
             changed: Notify::new(),
             parting: Cell::new(0),
-            pending: Pending::new(places),
+            pending: PendingConnections::new(places),
             spare,
         }
     }
 
     /// The process before still holds so many jobs, which count as this one's.
-    pub fn held_elsewhere(&self, jobs: usize) {
-        self.elsewhere.set(jobs);
+    pub fn set_predecessor_requests(&self, requests: usize) {
+        self.elsewhere.set(requests);
     }
 
     /// One of those that the process before held may be this one's now.
-    pub fn one_less_elsewhere(&self, one_less: bool) {
+    pub fn release_predecessor_request(&self, one_less: bool) {
         self.elsewhere.set(self.elsewhere.get().saturating_sub(usize::from(one_less)));
     }
 
     /// Leaves the next clients to the process that shares the listening socket.
-    pub fn close(&self) {
+    pub fn pause_accepting(&self) {
         self.closed.set(true);
         self.changed.notify_one();
     }
 
     /// Takes clients in again.
-    pub fn open(&self) {
+    pub fn resume_accepting(&self) {
         self.closed.set(false);
         self.changed.notify_one();
     }
@@ -128,22 +128,22 @@
     }
 
     /// Accepts for ever; each client is a task of its own, where a panic stays.
-    pub async fn serve(self: Rc<Self>, core: Rc<Core>, front: Rc<dyn Front>) {
+    pub async fn serve(self: Rc<Self>, core: Rc<Core>, protocol: Rc<dyn Protocol>) {
         let mut failures = 0;
         loop {
-            let place = self.pending.enter(&core).await;
+            let place = self.pending.acquire_slot(&core).await;
             match self.accept().await {
                 Ok(stream) => {
                     failures = 0;
-                    let (host, core, front) = (core.host.clone(), core.clone(), front.clone());
-                    let (listener, owed) = (self.clone(), core.owe());
+                    let (host, core, protocol) = (core.host.clone(), core.clone(), protocol.clone());
+                    let (listener, owed) = (self.clone(), core.shutdown_guard());
                     host.spawn(async move {
-                        let heard = listener.receive(&core, &front, stream, place).await;
+                        let heard = listener.receive(&core, &protocol, stream, place).await;
                         if let Some((stream, opening)) = heard {
-                            let job = job::run(core, front, stream, opening);
+                            let request = request_handler::run(core, protocol, stream, opening);
                             // The job has its seat before it waits for anything.
                             drop(owed);
-                            job.await;
+                            request.await;
                         }
                     });
                 }
@@ -154,7 +154,7 @@
                 }
                 Err(e) => {
                     tracing::warn!(target: "listener", "{e}");
-                    self.refuse_one(&core, &*front).await;
+                    self.refuse_one(&core, &*protocol).await;
                 }
             }
         }
@@ -163,13 +163,13 @@
 
 impl Listener {
     /// The spare descriptor lets one client in, to be told that there is no room, in place of leaving all in the queue.
-    async fn refuse_one(&self, core: &Rc<Core>, front: &dyn Front) {
+    async fn refuse_one(&self, core: &Rc<Core>, protocol: &dyn Protocol) {
         drop(self.spare.borrow_mut().take());
         let until = core.now() + REFUSING;
         let told = async {
             if let Ok(stream) = self.accept().await {
                 stream.set_nodelay();
-                answer(core, stream, &front.refusal(Some(NO_ROOM))).await;
+                send_and_close(core, stream, &protocol.refusal(Some(NO_ROOM))).await;
             }
         };
         tokio::select! {
@@ -183,18 +183,18 @@
 }
 
 /// Says that there is no room, without waiting.
-fn refuse(stream: &TcpStream, front: &dyn Front) {
+fn refuse(stream: &TcpStream, protocol: &dyn Protocol) {
     stream.set_nodelay();
     // A fresh connection has room for a line; one that is broken needs none.
-    let _ = stream.try_write(&front.refusal(Some(NO_ROOM)));
+    let _ = stream.try_write(&protocol.refusal(Some(NO_ROOM)));
     let _ = stream.finish();
     // What lies unread at a close would make it a reset, which could take the words back.
-    let _ = stream.try_read(&mut [0; LONGEST_LINE]);
+    let _ = stream.try_read(&mut [0; MAX_LINE_BYTES]);
 }
 
 /// What a client's opening came to.
 enum Heard {
-    Job(Box<dyn Opening>),
+    Job(Box<dyn ClientRequest>),
     /// Nothing that can be served.
     Wrong,
     /// Nothing yet, and it is not waited for any longer.
@@ -208,38 +208,38 @@
     async fn receive(
         self: &Rc<Self>,
         core: &Rc<Core>,
-        front: &Rc<dyn Front>,
+        protocol: &Rc<dyn Protocol>,
         stream: TcpStream,
-        place: Place,
-    ) -> Option<(TcpStream, Box<dyn Opening>)> {
+        place: PendingSlot,
+    ) -> Option<(TcpStream, Box<dyn ClientRequest>)> {
         stream.set_nodelay();
         let heard = tokio::select! {
             biased;
-            heard = hear(&**front, &stream) => heard,
+            heard = hear(&**protocol, &stream) => heard,
             () = core.deadlines.until(core.now() + HEARING) => Heard::Late,
             // One that says nothing is told to go elsewhere while it can.
-            () = core.stops.wait() => Heard::Late,
-            () = place.wanted() => {
-                self.part(core, front, stream);
+            () = core.draining.wait() => Heard::Late,
+            () = place.evicted() => {
+                self.evict(core, protocol, stream);
                 return None;
             }
         };
         let words = match heard {
-            Heard::Job(opening) if core.jobs() < self.room() => return Some((stream, opening)),
+            Heard::Job(opening) if core.active_requests() < self.room() => return Some((stream, opening)),
             Heard::Job(opening) => {
-                core.figures.ended(opening.request().class, Final::Refused);
-                front.refusal(Some(NO_ROOM))
+                core.metrics.count_answer(opening.request().class, FinalAnswer::Refused);
+                protocol.refusal(Some(NO_ROOM))
             }
             // Nothing of it was sent on, so that coming again is harmless.
-            Heard::Late => front.refusal(Some(NO_ROOM)),
-            Heard::Wrong => front.failure(),
+            Heard::Late => protocol.refusal(Some(NO_ROOM)),
+            Heard::Wrong => protocol.failure(),
             Heard::Gone => return None,
         };
         tokio::select! {
             // First, so that the words are on their way whatever else is ready.
             biased;
-            () = answer(core, stream, &words) => {}
-            () = place.wanted() => {}
+            () = send_and_close(core, stream, &words) => {}
+            () = place.evicted() => {}
         }
         None
     }
@@ -248,17 +248,17 @@
 impl Listener {
     /// Tells one the last whose place is wanted. Its next words may be on the way, and a close over them would be a
     /// reset that takes the last ones away: it has a moment to read them, unless too many have.
-    fn part(self: &Rc<Self>, core: &Rc<Core>, front: &Rc<dyn Front>, stream: TcpStream) {
+    fn evict(self: &Rc<Self>, core: &Rc<Core>, protocol: &Rc<dyn Protocol>, stream: TcpStream) {
         if self.parting.get() >= PARTING {
-            return refuse(&stream, &**front);
+            return refuse(&stream, &**protocol);
         }
         self.parting.set(self.parting.get() + 1);
-        let (listener, core, words) = (self.clone(), core.clone(), front.refusal(Some(NO_ROOM)));
+        let (listener, core, words) = (self.clone(), core.clone(), protocol.refusal(Some(NO_ROOM)));
         core.host.clone().spawn(async move {
             let until = core.now() + PARTING_TIME;
             tokio::select! {
                 biased;
-                () = answer(&core, stream, &words) => {}
+                () = send_and_close(&core, stream, &words) => {}
                 () = core.deadlines.until(until) => {}
             }
             listener.parting.set(listener.parting.get() - 1);
@@ -267,7 +267,7 @@
 }
 
 /// Reads lines until one opens a job. A client waits after that line: with anything behind it, it is none.
-async fn hear(front: &dyn Front, stream: &TcpStream) -> Heard {
+async fn hear(protocol: &dyn Protocol, stream: &TcpStream) -> Heard {
     let mut received = Vec::new();
     loop {
         received = match read_line(stream, received).await {
@@ -280,15 +280,15 @@
         if !received[..line].ends_with(b"\r\n") {
             return Heard::Wrong;
         }
-        match front.first(first_line(&received)) {
-            First::Job(opening) if received.len() == line => return Heard::Job(opening),
-            First::Answer(answer) => {
+        match protocol.parse_client_line(first_line(&received)) {
+            ClientMessage::Request(opening) if received.len() == line => return Heard::Job(opening),
+            ClientMessage::Immediate(answer) => {
                 received.drain(..line);
                 if write_all(stream, answer).await.is_err() {
                     return Heard::Gone;
                 }
             }
-            First::Job(_) | First::Malformed => return Heard::Wrong,
+            ClientMessage::Request(_) | ClientMessage::Malformed => return Heard::Wrong,
         }
     }
 }
--- a/crates/proxy/src/figures.rs
+++ b/crates/proxy/src/metrics.rs
@@ -7,7 +7,7 @@
 
 /// A job's final answer, as the figures tell them apart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Final {
+pub enum FinalAnswer {
     /// Its connection came up.
     Served,
     Refused,
@@ -16,28 +16,28 @@
 
 /// What holds at the moment of a call.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Now {
+pub struct Gauges {
     /// Jobs taken and not yet ended.
-    pub jobs: usize,
+    pub active_requests: usize,
     /// Backends in the machine list.
     pub listed: usize,
     /// Of these, the ones that the module avoids.
     pub avoided: usize,
 }
 
-pub struct Figures {
+pub struct Metrics {
     registry: Registry,
     classes: Vec<String>,
     served: IntCounterVec,
     refused: IntCounterVec,
     failed: IntCounterVec,
     attempts: IntCounterVec,
-    jobs: IntGauge,
+    active_requests: IntGauge,
     listed: IntGauge,
     avoided: IntGauge,
 }
 
-impl Figures {
+impl Metrics {
     /// All counts at none, for these classes. The names are fixed, so that no registration can fail.
     pub fn new(classes: Vec<String>) -> Result<Self, prometheus::Error> {
         let registry = Registry::new();
@@ -52,12 +52,12 @@
             registry.register(Box::new(gauge.clone()))?;
             Ok(gauge)
         };
-        Ok(Figures {
+        Ok(Metrics {
             served: by_class("lb_success", "Connections brought up since the start.")?,
             refused: by_class("lb_overload", "Connections refused since the start.")?,
             failed: by_class("lb_error", "Connections failed since the start.")?,
             attempts: by_class("lb_dispatches", "Attempts written whole to label servers since the start.")?,
-            jobs: gauge("lb_concurrent", "Connections taken and not yet ended.")?,
+            active_requests: gauge("lb_concurrent", "Connections taken and not yet ended.")?,
             listed: gauge("lb_targets", "Label servers in the list.")?,
             avoided: gauge("lb_targets_disabled", "Label servers in the list that get nothing new.")?,
             registry,
@@ -70,23 +70,23 @@
     }
 
     /// Counts a job's final answer.
-    pub fn ended(&self, class: usize, answer: Final) {
+    pub fn count_answer(&self, class: usize, answer: FinalAnswer) {
         let counter = match answer {
-            Final::Served => &self.served,
-            Final::Refused => &self.refused,
-            Final::Failed => &self.failed,
+            FinalAnswer::Served => &self.served,
+            FinalAnswer::Refused => &self.refused,
+            FinalAnswer::Failed => &self.failed,
         };
         counter.with_label_values(&[self.name(class)]).inc();
     }
 
     /// Counts an attempt whose last byte was written.
-    pub fn attempted(&self, class: usize) {
+    pub fn count_attempt(&self, class: usize) {
         self.attempts.with_label_values(&[self.name(class)]).inc();
     }
 
     /// The figures as text.
-    pub fn text(&self, now: Now) -> String {
-        self.jobs.set(now.jobs as i64);
+    pub fn encode(&self, now: Gauges) -> String {
+        self.active_requests.set(now.active_requests as i64);
         self.listed.set(now.listed as i64);
         self.avoided.set(now.avoided as i64);
         // Text of counters cannot fail to be written; a page without figures would be noticed.
@@ -100,12 +100,12 @@
 
     #[test]
     fn the_text_has_the_operators_names_and_starts_at_none() {
-        let figures = Figures::new(vec!["feed".into()]).unwrap();
-        (0..3).for_each(|_| figures.ended(0, Final::Served));
-        figures.ended(0, Final::Refused);
-        figures.ended(usize::MAX, Final::Failed);
-        figures.attempted(0);
-        let text = figures.text(Now { jobs: 2, listed: 5, avoided: 1 });
+        let metrics = Metrics::new(vec!["feed".into()]).unwrap();
+        (0..3).for_each(|_| metrics.count_answer(0, FinalAnswer::Served));
+        metrics.count_answer(0, FinalAnswer::Refused);
+        metrics.count_answer(usize::MAX, FinalAnswer::Failed);
+        metrics.count_attempt(0);
+        let text = metrics.encode(Gauges { active_requests: 2, listed: 5, avoided: 1 });
         let lines: Vec<&str> = text.lines().filter(|line| !line.starts_with('#')).collect();
         assert_eq!(
             lines,
--- a/crates/proxy/src/pending.rs
+++ b/crates/proxy/src/pending.rs
@@ -11,7 +11,7 @@
 const LEAST_HEARING: Micros = 20_000;
 
 /// Connections not heard yet. Where they are too many, the one that has been there longest makes room for the next.
-pub struct Pending {
+pub struct PendingConnections {
     most: usize,
     next: Cell<u64>,
     /// Since when each is there, and what rings when its place is wanted.
@@ -20,13 +20,18 @@
     left: Notify,
 }
 
-impl Pending {
+impl PendingConnections {
     pub fn new(most: usize) -> Rc<Self> {
-        Rc::new(Pending { most, next: Cell::new(0), there: RefCell::default(), left: Notify::new() })
+        Rc::new(PendingConnections {
+            most,
+            next: Cell::new(0),
+            there: RefCell::default(),
+            left: Notify::new(),
+        })
     }
 
     /// Waits for a place.
-    pub async fn enter(self: &Rc<Self>, core: &Core) -> Place {
+    pub async fn acquire_slot(self: &Rc<Self>, core: &Core) -> PendingSlot {
         while self.there.borrow().len() >= self.most {
             let longest = self.there.borrow().values().next().cloned();
             let Some((since, wanted)) = longest else { continue };
@@ -40,25 +45,25 @@
         }
         let (number, wanted) = (self.next.replace(self.next.get() + 1), Rc::new(Notify::new()));
         self.there.borrow_mut().insert(number, (core.now(), wanted.clone()));
-        Place { pending: self.clone(), number, wanted }
+        PendingSlot { pending: self.clone(), number, wanted }
     }
 }
 
 /// A place in the pending, free again when this is dropped.
-pub struct Place {
-    pending: Rc<Pending>,
+pub struct PendingSlot {
+    pending: Rc<PendingConnections>,
     number: u64,
     wanted: Rc<Notify>,
 }
 
-impl Place {
+impl PendingSlot {
     /// Waits until the place is wanted for another.
-    pub async fn wanted(&self) {
+    pub async fn evicted(&self) {
         self.wanted.notified().await;
     }
 }
 
-impl Drop for Place {
+impl Drop for PendingSlot {
     fn drop(&mut self) {
         self.pending.there.borrow_mut().remove(&self.number);
         self.pending.left.notify_one();
--- a/crates/proxy/src/probe.rs
+++ b/crates/proxy/src/probe.rs
@@ -1,7 +1,7 @@
 //! Probes of backends, each on a connection kept for the next one.
 
 use crate::core::Core;
-use crate::front::{Front, Reply};
+use crate::protocol::{Protocol, Reply};
 use crate::stream::{first_line, read_line, write_all};
 use pierloom_decision::{BackendId, Event, Micros, Status};
 use pierloom_host::TcpStream;
@@ -25,59 +25,59 @@
 impl Kept {
     /// Takes out the one to that node at that address, if it is as it was left. Guards against one that ended
     /// meanwhile, and against one on which an answer came twice or late: every answer after it would be the one before.
-    fn take(&self, node: &BackendId, at: SocketAddr) -> Option<TcpStream> {
+    fn take(&self, backend: &BackendId, at: SocketAddr) -> Option<TcpStream> {
         let mut kept = self.0.borrow_mut();
-        let place = kept.iter().position(|(name, ..)| name == node)?;
+        let place = kept.iter().position(|(name, ..)| name == backend)?;
         let (_, address, stream) = kept.remove(place)?;
         let untouched = stream.try_read(&mut [0; 1]).is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock);
         (address == at && untouched).then_some(stream)
     }
 
-    fn put(&self, node: &BackendId, at: SocketAddr, stream: TcpStream) {
+    fn put(&self, backend: &BackendId, at: SocketAddr, stream: TcpStream) {
         let mut kept = self.0.borrow_mut();
         // Two probes of one node may have been under way at once.
-        kept.retain(|(name, ..)| name != node);
+        kept.retain(|(name, ..)| name != backend);
         if kept.len() >= MOST_KEPT {
             kept.pop_front();
         }
-        kept.push_back((node.clone(), at, stream));
+        kept.push_back((backend.clone(), at, stream));
     }
 }
 
 /// Sends the probes that the module asks for, each at once.
-pub async fn serve(core: Rc<Core>, front: Rc<dyn Front>, mut asked: UnboundedReceiver<BackendId>) {
+pub async fn serve(core: Rc<Core>, protocol: Rc<dyn Protocol>, mut asked: UnboundedReceiver<BackendId>) {
     let kept = Rc::new(Kept::default());
-    while let Some(node) = asked.recv().await {
-        let (host, core, front, kept) = (core.host.clone(), core.clone(), front.clone(), kept.clone());
+    while let Some(backend) = asked.recv().await {
+        let (host, core, protocol, kept) = (core.host.clone(), core.clone(), protocol.clone(), kept.clone());
         host.spawn(async move {
             let (status, report) = tokio::select! {
                 biased;
-                answer = probe(&core, &*front, &kept, &node) => answer,
+                answer = probe(&core, &*protocol, &kept, &backend) => answer,
                 () = core.deadlines.until(core.now() + PROBE_TIMEOUT) => (Status::Timeout, Vec::new()),
             };
-            core.tell(Event::Probed { backend: node, status, report });
+            core.dispatch_event(Event::Probed { backend, status, report });
         });
     }
 }
 
-async fn probe(core: &Core, front: &dyn Front, kept: &Kept, node: &BackendId) -> (Status, Vec<f64>) {
+async fn probe(core: &Core, protocol: &dyn Protocol, kept: &Kept, backend: &BackendId) -> (Status, Vec<f64>) {
     let failed = |status| (status, Vec::new());
-    let Some(address) = core.address(node) else { return failed(Status::ConnectFailed) };
-    if let Some(stream) = kept.take(node, address) {
+    let Some(address) = core.address(backend) else { return failed(Status::ConnectFailed) };
+    if let Some(stream) = kept.take(backend, address) {
         // It may end under the question; then a new one is asked.
-        if let Some((answer, whole)) = ask(front, &stream).await {
+        if let Some((answer, whole)) = ask(protocol, &stream).await {
             if whole {
-                kept.put(node, address, stream);
+                kept.put(backend, address, stream);
             }
             return answer;
         }
     }
     let Ok(stream) = core.host.connect(address).await else { return failed(Status::ConnectFailed) };
     stream.set_nodelay();
-    match ask(front, &stream).await {
+    match ask(protocol, &stream).await {
         Some((answer, whole)) => {
             if whole {
-                kept.put(node, address, stream);
+                kept.put(backend, address, stream);
             }
             answer
         }
@@ -86,11 +86,11 @@
 }
 
 /// The answer, and whether nothing came behind it, so that the connection can be asked again.
-async fn ask(front: &dyn Front, stream: &TcpStream) -> Option<((Status, Vec<f64>), bool)> {
-    write_all(stream, front.load_query()).await.ok()?;
+async fn ask(protocol: &dyn Protocol, stream: &TcpStream) -> Option<((Status, Vec<f64>), bool)> {
+    write_all(stream, protocol.load_query()).await.ok()?;
     let mut received = read_line(stream, Vec::new()).await.ok()?;
     let after = |received: &[u8]| received.iter().position(|&byte| byte == b'\n').map_or(0, |at| at + 1);
-    let reply = front.reply(first_line(&received));
+    let reply = protocol.parse_backend_line(first_line(&received));
     let Reply::Pong(report) = reply else { return Some(((Status::Error, Vec::new()), false)) };
     if !report.is_empty() {
         return Some(((Status::Ok, report), after(&received) == received.len()));
@@ -98,6 +98,6 @@
     // The report may come on a line of its own.
     received.drain(..after(&received));
     let received = read_line(stream, received).await.ok()?;
-    let report = front.report(first_line(&received));
+    let report = protocol.parse_load_report(first_line(&received));
     Some(((Status::Ok, report), after(&received) == received.len()))
 }
--- a/crates/proxy/src/front/lines.rs
+++ b/crates/proxy/src/protocol/lines.rs
@@ -1,6 +1,6 @@
 //! The platform's line protocol.
 
-use super::{First, Front, Opening, Reply};
+use super::{ClientMessage, ClientRequest, Protocol, Reply};
 use pierloom_decision::{BackendId, Micros, Request, Settings};
 use pierloom_wire::{NameIndex, key_hash};
 use std::rc::Rc;
@@ -14,16 +14,16 @@
 const PATIENCE: u64 = 10;
 
 /// The platform's grammar, for one proxy's settings.
-pub struct Lines {
+pub struct LineProtocol {
     names: Rc<NameIndex>,
     longest_wait: Micros,
 }
 
-impl Lines {
+impl LineProtocol {
     /// The grammar for the names of these settings.
     pub fn new(names: Rc<NameIndex>, settings: &Settings) -> Self {
         let longest = settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
-        Lines { names, longest_wait: longest.saturating_mul(PATIENCE) }
+        LineProtocol { names, longest_wait: longest.saturating_mul(PATIENCE) }
     }
 }
 
@@ -43,7 +43,7 @@
     }
 }
 
-impl Opening for Open {
+impl ClientRequest for Open {
     fn request(&self) -> Request {
         Request {
             class: self.class,
@@ -59,15 +59,15 @@
         &self.id
     }
 
-    fn wait(&self) -> Micros {
+    fn timeout(&self) -> Micros {
         self.wait
     }
 
-    fn standing_at(&self) -> Option<BackendId> {
+    fn resume_backend(&self) -> Option<BackendId> {
         self.field("at").map(Into::into)
     }
 
-    fn for_node(&self, wait: Micros) -> Vec<u8> {
+    fn encode_for_backend(&self, wait: Micros) -> Vec<u8> {
         let mut line = format!("OPEN {} {} ", self.id, self.key);
         for (i, (name, value)) in self.fields.iter().enumerate() {
             let comma = if i > 0 { "," } else { "" };
@@ -124,7 +124,7 @@
     .parse_next(input)
 }
 
-impl Lines {
+impl LineProtocol {
     /// The values of a report in the order of the settings; none where the first is missing.
     fn values(&self, text: &str) -> Vec<f64> {
         let Ok(report) = report.parse(text) else { return Vec::new() };
@@ -144,7 +144,7 @@
         let wait: u32 = dec_uint::<_, u32, winnow::error::ContextError>.parse(open.field("d")?).ok()?;
         open.wait = Micros::from(wait) * 1_000;
         // One that stood before may be given all the time there is.
-        if open.wait > self.longest_wait && open.standing_at().is_none() {
+        if open.wait > self.longest_wait && open.resume_backend().is_none() {
             return None;
         }
         open.hint = open.field("h").and_then(|h| h.parse::<f64>().ok()).filter(|h| h.is_finite());
@@ -154,16 +154,16 @@
     }
 }
 
-impl Front for Lines {
-    fn first(&self, line: &[u8]) -> First {
-        let Ok(line) = std::str::from_utf8(line) else { return First::Malformed };
+impl Protocol for LineProtocol {
+    fn parse_client_line(&self, line: &[u8]) -> ClientMessage {
+        let Ok(line) = std::str::from_utf8(line) else { return ClientMessage::Malformed };
         if line == "PING" {
-            return First::Answer(b"PONG\r\n");
+            return ClientMessage::Immediate(b"PONG\r\n");
         }
-        self.open(line).map_or(First::Malformed, |open| First::Job(Box::new(open)))
+        self.open(line).map_or(ClientMessage::Malformed, |open| ClientMessage::Request(Box::new(open)))
     }
 
-    fn reply(&self, line: &[u8]) -> Reply {
+    fn parse_backend_line(&self, line: &[u8]) -> Reply {
         let Ok(line) = std::str::from_utf8(line) else { return Reply::Other };
         match said.parse(line) {
             Ok(Said::Load(load)) => Reply::Load(load),
@@ -177,7 +177,7 @@
         }
     }
 
-    fn report(&self, line: &[u8]) -> Vec<f64> {
+    fn parse_load_report(&self, line: &[u8]) -> Vec<f64> {
         std::str::from_utf8(line).map_or_else(|_| Vec::new(), |line| self.values(line))
     }
 
--- a/crates/proxy/src/front/mod.rs
+++ b/crates/proxy/src/protocol/mod.rs
@@ -26,13 +26,13 @@
 }
 
 /// A protocol between clients, this proxy and backends.
-pub trait Front {
+pub trait Protocol {
     /// Reads a client's first line.
-    fn first(&self, line: &[u8]) -> First;
+    fn parse_client_line(&self, line: &[u8]) -> ClientMessage;
     /// Reads a line of a backend's.
-    fn reply(&self, line: &[u8]) -> Reply;
+    fn parse_backend_line(&self, line: &[u8]) -> Reply;
     /// Reads a load report on a line of its own.
-    fn report(&self, line: &[u8]) -> Vec<f64>;
+    fn parse_load_report(&self, line: &[u8]) -> Vec<f64>;
     /// Asks a backend for its load.
     fn load_query(&self) -> &'static [u8];
     /// The answer 'refused; come again after that time'.
@@ -46,25 +46,25 @@
 }
 
 /// A client's first line.
-pub enum First {
+pub enum ClientMessage {
     /// A job.
-    Job(Box<dyn Opening>),
+    Request(Box<dyn ClientRequest>),
     /// Something else with its answer; another line may follow.
-    Answer(&'static [u8]),
+    Immediate(&'static [u8]),
     /// Not understood.
     Malformed,
 }
 
 /// What opens a job.
-pub trait Opening {
+pub trait ClientRequest {
     /// What the module needs to know; its identity and deadline are the host's to set.
     fn request(&self) -> Request;
     /// What tells the job from all others.
     fn identity(&self) -> &str;
     /// How long the client waits for its answer.
-    fn wait(&self) -> Micros;
+    fn timeout(&self) -> Micros;
     /// The backend that holds the connection already.
-    fn standing_at(&self) -> Option<BackendId>;
+    fn resume_backend(&self) -> Option<BackendId>;
     /// What a backend is sent, where this proxy waits so long for its answer.
-    fn for_node(&self, wait: Micros) -> Vec<u8>;
+    fn encode_for_backend(&self, wait: Micros) -> Vec<u8>;
 }
--- a/crates/proxy/src/reload.rs
+++ b/crates/proxy/src/reload.rs
@@ -1,6 +1,6 @@
 //! A config that is replaced while the proxy runs.
 
-use crate::config::Source;
+use crate::config::ConfigFile;
 use crate::core::Core;
 use pierloom_decision::Micros;
 use pierloom_host::Signals;
@@ -18,13 +18,13 @@
 pub async fn on_sighup(
     core: Rc<Core>,
     mut hangups: Signals,
-    mut source: Source,
+    mut source: ConfigFile,
     discovery: watch::Sender<SocketAddr>,
 ) {
     while hangups.recv().await.is_some() {
         let (told, mut complained) = (core.now(), false);
         loop {
-            match source.reread(&core.host) {
+            match source.reload(&core.host) {
                 Ok(Some(address)) => {
                     tracing::info!(target: "reload", "discovery is now at {address}");
                     discovery.send_replace(address);
--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -1,6 +1,6 @@
 //! The planned stop: new clients still come for a moment, and all are sent away in a spread.
 
-use crate::core::{Core, Order};
+use crate::core::{Core, RequestCommand};
 use pierloom_decision::Micros;
 use pierloom_host::Signals;
 use std::rc::Rc;
@@ -27,7 +27,7 @@
 const STEP: Micros = 20_000;
 
 /// When SIGTERM came. It may come while the process is not ready yet, and its time counts from there.
-pub fn note_sigterm(core: &Rc<Core>, mut terminations: Signals) -> oneshot::Receiver<Micros> {
+pub fn watch_sigterm(core: &Rc<Core>, mut terminations: Signals) -> oneshot::Receiver<Micros> {
     let (sender, told) = oneshot::channel();
     let noting = core.clone();
     core.host.spawn(async move {
@@ -45,16 +45,16 @@
     let longest = core.settings().classes.iter().map(|class| class.deadline).max().unwrap_or(0);
     let kill = told + longest.min(LONGEST_COUNTED) + KILL_SLACK;
     let last_move = kill.saturating_sub(MOVED_EARLY).max(told);
-    if hand_on(&core, last_move).await {
+    if hand_over_all(&core, last_move).await {
         return;
     }
     core.deadlines.until(told + STILL_COMING.min((kill - told) / STILL_COMING_PART)).await;
     while core.now() < last_move {
-        let (left, standing) = (last_move - core.now(), core.standing());
+        let (left, standing) = (last_move - core.now(), core.established_requests());
         // One at a time where that spreads them over what is left, more where they are many.
         let gap = (left / (standing.len() as Micros + 1)).max(STEP);
         let share = (standing.len() as Micros * gap).div_ceil(left) as usize;
-        standing.into_iter().take(share).for_each(|id| core.order(id, Order::Move));
+        standing.into_iter().take(share).for_each(|id| core.send_command(id, RequestCommand::Move));
         core.deadlines.until((core.now() + gap).min(last_move)).await;
     }
     // Whoever is not served by now is free to go elsewhere while there is time: the module says with which answer. An
@@ -66,14 +66,14 @@
     if core.is_idle() {
         return;
     }
-    core.ends.reach();
+    core.terminating.set();
     move_all(&core, kill - ENDED_EARLY).await;
 }
 
 /// Moves whoever stands, and whoever comes up meanwhile, until nobody is owed anything or it is that time.
 async fn move_all(core: &Core, until: Micros) {
     loop {
-        core.standing().into_iter().for_each(|id| core.order(id, Order::Move));
+        core.established_requests().into_iter().for_each(|id| core.send_command(id, RequestCommand::Move));
         if quiet(core, (core.now() + LAST_STEP).min(until)).await || core.now() >= until {
             return;
         }
@@ -84,7 +84,7 @@
 async fn quiet(core: &Core, until: Micros) -> bool {
     tokio::select! {
         biased;
-        () = core.idle() => {}
+        () = core.wait_until_idle() => {}
         () = core.deadlines.until(until) => return false,
     }
     core.deadlines.until((core.now() + QUIET).min(until)).await;
@@ -93,12 +93,14 @@
 
 /// Where another process has taken over, it gets every connection as soon as it stands; true once all are with it, or
 /// have ended. Who was taken in and not heard yet is heard first. False where there is none, or it ended meanwhile.
-async fn hand_on(core: &Core, until: Micros) -> bool {
-    while core.has_after() && core.now() < until {
-        core.standing().into_iter().for_each(|id| core.order(id, Order::HandOn));
+async fn hand_over_all(core: &Core, until: Micros) -> bool {
+    while core.has_successor() && core.now() < until {
+        core.established_requests()
+            .into_iter()
+            .for_each(|id| core.send_command(id, RequestCommand::HandOver));
         tokio::select! {
             biased;
-            () = core.idle() => return true,
+            () = core.wait_until_idle() => return true,
             () = core.deadlines.until((core.now() + LAST_STEP).min(until)) => {}
         }
     }
--- a/crates/proxy/src/source/discovery.rs
+++ b/crates/proxy/src/source/discovery.rs
@@ -23,19 +23,20 @@
 
 /// Whatever discovery has to tell binds so long after it had it, whether it was told or not: the protocol's figure;
 /// microseconds.
-pub const BINDS: Micros = 6_000_000;
+pub const MAX_ENDPOINTS_AGE_US: Micros = 6_000_000;
 /// The same after SIGHUP named another discovery; microseconds.
-pub const BINDS_MOVED: Micros = 4_000_000;
+pub const MAX_ENDPOINTS_AGE_AFTER_MOVE_US: Micros = 4_000_000;
 /// How long discovery may hold a watch; milliseconds. A watch that has fallen silent looks like one that is held: what
-/// is left of its hold, of [`SLACK`] and the call that replaces it have to fit into [`BINDS`] together.
+/// is left of its hold, of [`SLACK`] and the call that replaces it have to fit into [`MAX_ENDPOINTS_AGE_US`]
+/// together.
 const HOLD_MS: u64 = 1_500;
 /// What a held call may take beyond its hold; microseconds. Seldom more than 10 ms with 300 callers; up to a second
 /// while all of them come back at once.
 const SLACK: Micros = 1_000_000;
 /// How long a call that opens a watch waits before another is made beside it; microseconds. It waits its turn behind
 /// the calls of all other proxies, and discovery itself ends one that has waited too long. This is what is left of
-/// [`BINDS`] after a watch that fell silent.
-const TURN: Micros = BINDS - HOLD_MS * 1_000 - SLACK;
+/// [`MAX_ENDPOINTS_AGE_US`] after a watch that fell silent.
+const TURN: Micros = MAX_ENDPOINTS_AGE_US - HOLD_MS * 1_000 - SLACK;
 /// A connection to discovery takes no longer than this; microseconds.
 const CONNECT: Micros = 1_000_000;
 /// Pause after a call that failed to an agent of this proxy's own, which no other calls; microseconds.
@@ -82,17 +83,17 @@
 
 /// An answer of discovery's.
 #[derive(Deserialize, Default)]
-#[serde(from = "Told")]
-pub struct List {
+#[serde(from = "RawResponse")]
+pub struct EndpointsResponse {
     index: u64,
     snapshot: bool,
     endpoints: Vec<Endpoint>,
     /// Who has an entry that cannot be read.
-    odd: Vec<String>,
+    invalid: Vec<String>,
 }
 
 #[derive(Deserialize)]
-struct Told {
+struct RawResponse {
     index: u64,
     #[serde(default)]
     snapshot: bool,
@@ -100,14 +101,15 @@
     endpoints: Vec<Entry>,
 }
 
-impl From<Told> for List {
-    fn from(told: Told) -> Self {
-        let mut list = List { index: told.index, snapshot: told.snapshot, ..List::default() };
+impl From<RawResponse> for EndpointsResponse {
+    fn from(told: RawResponse) -> Self {
+        let mut list =
+            EndpointsResponse { index: told.index, snapshot: told.snapshot, ..EndpointsResponse::default() };
         for entry in told.endpoints {
             match entry {
                 Entry::Whole(endpoint) => list.endpoints.push(endpoint),
-                Entry::Odd { name } => list.odd.push(name),
-                Entry::Nonsense(_) => list.odd.push(String::new()),
+                Entry::Odd { name } => list.invalid.push(name),
+                Entry::Nonsense(_) => list.invalid.push(String::new()),
             }
         }
         list
@@ -134,13 +136,13 @@
 
 /// The machine list as it stands: all that was told so far, less who is gone.
 #[derive(Clone, Default, Deserialize, Serialize)]
-pub struct Roster {
+pub struct Endpoints {
     index: u64,
     endpoints: BTreeMap<String, Endpoint>,
 }
 
-impl Roster {
-    fn enter(&mut self, list: &List, kind: ListKind) {
+impl Endpoints {
+    fn enter(&mut self, list: &EndpointsResponse, kind: ListKind) {
         if kind == ListKind::Full {
             self.endpoints.clear();
         }
@@ -154,16 +156,22 @@
     }
 
     /// As discovery would tell it whole.
-    pub fn list(&self) -> List {
+    pub fn snapshot(&self) -> EndpointsResponse {
         let endpoints = self.endpoints.values().cloned().collect();
-        List { index: self.index, snapshot: true, endpoints, odd: Vec::new() }
+        EndpointsResponse { index: self.index, snapshot: true, endpoints, invalid: Vec::new() }
     }
 }
 
 /// Hands a list to the core: the addresses first, so that whatever the module picks can be dialled. An entry that cannot
 /// be read leaves who it names as before.
-pub fn enter(core: &Core, names: &NameIndex, roster: &RefCell<Roster>, mut list: List, kind: ListKind) {
-    for name in &list.odd {
+pub fn apply_endpoints(
+    core: &Core,
+    names: &NameIndex,
+    roster: &RefCell<Endpoints>,
+    mut list: EndpointsResponse,
+    kind: ListKind,
+) {
+    for name in &list.invalid {
         tracing::warn!(target: "machine_list", "{name:?} has an entry that cannot be read");
         let before = roster.borrow().endpoints.get(name).cloned();
         list.endpoints.extend(before.filter(|_| kind == ListKind::Full));
@@ -180,7 +188,7 @@
         }
     }
     let members = list.endpoints.iter().map(|endpoint| endpoint.member(names)).collect();
-    core.tell(Event::Members { kind, members });
+    core.dispatch_event(Event::Members { kind, members });
 }
 
 type Sender = SendRequest<Empty<Bytes>>;
@@ -209,7 +217,7 @@
 
 /// What a call brought, from which discovery, and the connection that it came on.
 struct Answer {
-    list: List,
+    list: EndpointsResponse,
     whole: bool,
     discovery: SocketAddr,
     sender: Sender,
@@ -261,7 +269,7 @@
         return Err(Failure::after("answered", format!("status {status}")));
     }
     let mut bytes = body.to_bytes().to_vec();
-    let list: List = simd_json::serde::from_slice(&mut bytes)
+    let list: EndpointsResponse = simd_json::serde::from_slice(&mut bytes)
         .map_err(|e| Failure::after("an answer that is no list", e))?;
     let whole = list.snapshot || from.is_none();
     if list.endpoints.is_empty() && whole {
@@ -307,7 +315,7 @@
 struct Follower<'a> {
     core: &'a Core,
     names: &'a NameIndex,
-    roster: &'a RefCell<Roster>,
+    roster: &'a RefCell<Endpoints>,
     moves: watch::Receiver<SocketAddr>,
     discovery: SocketAddr,
     /// The version seen last; none before a list of this discovery's.
@@ -330,7 +338,7 @@
 pub async fn watch(
     core: Rc<Core>,
     names: Rc<NameIndex>,
-    roster: Rc<RefCell<Roster>>,
+    roster: Rc<RefCell<Endpoints>>,
     mut moves: watch::Receiver<SocketAddr>,
     from: Option<u64>,
 ) {
@@ -348,13 +356,13 @@
             }
             Came::Failure(Failure { reached, why }) => {
                 tracing::warn!(target: "machine_list", "a call failed: {why}");
-                core.forget_asked();
+                core.clear_list_request();
                 let kind = if reached { ListKind::Failed } else { ListKind::Unreachable };
-                core.tell(Event::Members { kind, members: [].into() });
+                core.dispatch_event(Event::Members { kind, members: [].into() });
                 follower.pause().await
             }
             Came::Moved => {
-                core.tell(Event::Members { kind: ListKind::DiscoveryMoved, members: [].into() });
+                core.dispatch_event(Event::Members { kind: ListKind::DiscoveryMoved, members: [].into() });
                 (follower.from, follower.kept) = (None, None);
                 follower.discovery = *follower.moves.borrow_and_update();
                 follower.call().await
@@ -368,7 +376,13 @@
     /// Enters what the discovery that is followed told.
     fn enter(&mut self, Answer { list, whole, sender, .. }: Answer) {
         (self.from, self.kept, self.late) = (Some(list.index), Some(sender), Late::default());
-        enter(self.core, self.names, self.roster, list, if whole { ListKind::Full } else { ListKind::Delta });
+        apply_endpoints(
+            self.core,
+            self.names,
+            self.roster,
+            list,
+            if whole { ListKind::Full } else { ListKind::Delta },
+        );
     }
 
     /// What came on a call that was late: the answer, if the discovery that is followed gave it. The one before is
@@ -383,7 +397,7 @@
         if whole {
             return None;
         }
-        enter(core, self.names, self.roster, list, ListKind::Delta);
+        apply_endpoints(core, self.names, self.roster, list, ListKind::Delta);
         let goes_on = Box::pin(call(core, Some(sender), discovery, Some(index)));
         self.late.0.push((core.now(), goes_on));
         None
@@ -420,7 +434,7 @@
         let core = self.core;
         let mut again = pin!(async {
             match core.settings().ask_for_list {
-                true => core.asked().await,
+                true => core.list_requested().await,
                 false => core.deadlines.until(core.now() + PUSHED_PAUSE).await,
             }
         });
@@ -437,7 +451,7 @@
     }
 }
 
-impl List {
+impl EndpointsResponse {
     /// The version from which to watch.
     pub fn index(&self) -> u64 {
         self.index
--- a/crates/proxy/src/stream.rs
+++ b/crates/proxy/src/stream.rs
@@ -7,9 +7,9 @@
 use std::rc::Rc;
 
 /// Longest line that any side sends; bytes.
-pub const LONGEST_LINE: usize = 4096;
+pub const MAX_LINE_BYTES: usize = 4096;
 /// Once one side has ended, the other has this long to end too; microseconds.
-pub const ENDING: Micros = 800_000;
+pub const HALF_CLOSE_TIMEOUT_US: Micros = 800_000;
 
 /// The first line of what was received, without its end.
 pub fn first_line(received: &[u8]) -> &[u8] {
@@ -32,7 +32,7 @@
 /// Reads on until a whole line is there. An end before it, or a line that is too long, is an error.
 pub async fn read_line(stream: &TcpStream, mut received: Vec<u8>) -> io::Result<Vec<u8>> {
     while !received.contains(&b'\n') {
-        if received.len() >= LONGEST_LINE {
+        if received.len() >= MAX_LINE_BYTES {
             return Err(io::ErrorKind::InvalidData.into());
         }
         if read_more(stream, &mut received).await? == 0 {
@@ -44,8 +44,8 @@
 
 /// Reads what there is, up to a line's length in all; 0 at the end.
 pub async fn read_more(stream: &TcpStream, received: &mut Vec<u8>) -> io::Result<usize> {
-    let mut part = [0; LONGEST_LINE];
-    let room = (LONGEST_LINE - received.len()).max(1);
+    let mut part = [0; MAX_LINE_BYTES];
+    let room = (MAX_LINE_BYTES - received.len()).max(1);
     loop {
         stream.readable().await;
         match stream.try_read(&mut part[..room]) {
@@ -61,12 +61,12 @@
 
 /// Sends the last words, ends the sending and waits a little for the other side to end: a close with bytes
 /// unread would be a reset, and could take the words back. The process waits for it before it ends.
-pub async fn answer(core: &Rc<Core>, stream: TcpStream, words: &[u8]) {
-    let _owed = core.owe();
+pub async fn send_and_close(core: &Rc<Core>, stream: TcpStream, words: &[u8]) {
+    let _owed = core.shutdown_guard();
     let goodbye = async {
         write_all(&stream, words).await?;
         stream.finish()?;
-        let mut rest = [0; LONGEST_LINE];
+        let mut rest = [0; MAX_LINE_BYTES];
         loop {
             stream.readable().await;
             match stream.try_read(&mut rest) {
@@ -81,6 +81,6 @@
         biased;
         // Whether it was heard to the end changes nothing here.
         _ = goodbye => {}
-        () = core.deadlines.until(core.now() + ENDING) => {}
+        () = core.deadlines.until(core.now() + HALF_CLOSE_TIMEOUT_US) => {}
     }
 }
--- a/crates/proxy/src/upgrade.rs
+++ b/crates/proxy/src/upgrade.rs
@@ -1,12 +1,12 @@
 //! A process beside this one: taking over from the one that runs, and handing over to the next. What staff withhold
 //! is kept here too, as it outlives the process. Nothing is decided here.
 
-use crate::core::{Core, HandedOn};
-use crate::front::Front;
-use crate::job::{self, Connection};
+use crate::core::{Core, PendingHandover};
 use crate::listener::Listener;
-use crate::relay::{Flow, Standing};
-use crate::source::discovery::Roster;
+use crate::protocol::Protocol;
+use crate::relay::{EstablishedConnection, RelayState};
+use crate::request_handler::{self, HandoverRecord};
+use crate::source::discovery::Endpoints;
 use pierloom_decision::{BackendId, ClockOffset, Event, LearnedState, Micros};
 use pierloom_host::{HandoverChannel, PassedSocket, TcpListener};
 use serde::{Deserialize, Serialize};
@@ -31,26 +31,31 @@
 const OFFER_PAUSE: Micros = 1_000_000;
 
 /// Told when the other holds a connection, or given it back.
-type Done = oneshot::Sender<Result<(), Standing>>;
+type Done = oneshot::Sender<Result<(), EstablishedConnection>>;
 
 /// What two processes say to each other.
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum Word {
+enum HandoverMessage {
     /// What the new one starts with, beside the listening socket.
     State(State),
     /// The new one serves.
-    Taken,
+    #[serde(rename = "taken")]
+    TakeoverStarted,
     /// The old one accepts no more.
-    Released,
+    #[serde(rename = "released")]
+    AcceptStopped,
     /// Staff withhold a backend, or (false) gave it back.
-    Withheld(String, bool),
+    #[serde(rename = "withheld")]
+    Maintenance(String, bool),
     /// The old one holds so many jobs.
-    Jobs(usize),
+    #[serde(rename = "jobs")]
+    ActiveRequests(usize),
     /// A connection that stands, with its sockets: the client's, then the backend's.
-    Connection(Connection, Flow),
+    Connection(HandoverRecord, RelayState),
     /// The new one holds the connection that came last, or (false) cannot.
-    Holds(bool),
+    #[serde(rename = "holds")]
+    ConnectionAccepted(bool),
 }
 
 /// What a process hands over.
@@ -60,24 +65,28 @@
     /// own: that of the machine may have been set between their starts. None from a version that did not say.
     #[serde(default)]
     clock: Option<Micros>,
-    withheld: Vec<String>,
+    #[serde(rename = "withheld")]
+    backends_in_maintenance: Vec<String>,
     /// The machine list as it stands.
-    list: Roster,
-    learned: LearnedState,
-    jobs: usize,
+    #[serde(rename = "list")]
+    endpoints: Endpoints,
+    #[serde(rename = "learned")]
+    learned_state: LearnedState,
+    #[serde(rename = "jobs")]
+    active_requests: usize,
 }
 
 /// What this process took over.
-pub struct Inherited {
+pub struct Takeover {
     pub listener: TcpListener,
-    pub list: Roster,
-    pub learned: LearnedState,
-    pub jobs: usize,
-    pub pass: HandoverChannel,
+    pub endpoints: Endpoints,
+    pub learned_state: LearnedState,
+    pub active_requests: usize,
+    pub channel: HandoverChannel,
 }
 
 /// Where the process beside this one is met, and what staff withhold is kept.
-struct Place {
+struct HandoverPaths {
     socket: PathBuf,
     withheld: PathBuf,
 }
@@ -85,10 +94,10 @@
 pub struct Upgrades {
     core: Rc<Core>,
     /// None where there is no second address.
-    place: Option<Place>,
-    front: Rc<dyn Front>,
+    place: Option<HandoverPaths>,
+    protocol: Rc<dyn Protocol>,
     /// The processes beside this one: the one before, the one after.
-    beside: RefCell<Vec<UnboundedSender<Word>>>,
+    peers: RefCell<Vec<UnboundedSender<HandoverMessage>>>,
     serving: Cell<bool>,
     /// How far this process's clock is before that of the process before.
     clock_offset: Cell<ClockOffset>,
@@ -98,13 +107,13 @@
 
 /// What came of a call of staff's for a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mark {
+pub enum MaintenanceResult {
     /// In force, and written down.
-    Kept,
+    Persisted,
     /// In force; not written down yet, so that a kill now would forget it.
-    Unwritten,
+    NotPersisted,
     /// Nobody has that backend.
-    Unknown,
+    UnknownBackend,
 }
 
 /// A file name made of the proxy's name.
@@ -115,17 +124,17 @@
 
 impl Upgrades {
     /// With a second address, in the folder that both processes share.
-    pub fn new(core: Rc<Core>, front: Rc<dyn Front>, name: &str, console: bool) -> Rc<Self> {
+    pub fn new(core: Rc<Core>, protocol: Rc<dyn Protocol>, name: &str, console: bool) -> Rc<Self> {
         let folder = core.host.env_var("TMPDIR").filter(|_| console);
         let place = folder.map(|folder| {
             let base = PathBuf::from(folder).join(file_name(name));
-            Place { socket: base.with_extension("sock"), withheld: base.with_extension("withheld") }
+            HandoverPaths { socket: base.with_extension("sock"), withheld: base.with_extension("withheld") }
         });
         Rc::new(Upgrades {
             core,
             place,
-            front,
-            beside: RefCell::default(),
+            protocol,
+            peers: RefCell::default(),
             serving: Cell::new(false),
             clock_offset: Cell::new(0),
             unwritten: Cell::new(false),
@@ -138,12 +147,12 @@
     }
 
     /// Takes over from the process that runs, if there is one, and has withheld what staff withheld before.
-    pub async fn take_over(&self) -> Option<Inherited> {
+    pub async fn take_over(&self) -> Option<Takeover> {
         let place = self.place.as_ref()?;
         let asked_at = self.core.now();
         let asked = async {
             let pass = self.core.host.connect_handover(&place.socket).await?;
-            let Word::State(state) = read(pass.receive().await?)? else {
+            let HandoverMessage::State(state) = read(pass.receive().await?)? else {
                 return Err(io::ErrorKind::InvalidData.into());
             };
             let listener = pass.receive_listener()?;
@@ -155,14 +164,21 @@
             () = self.core.deadlines.until(self.core.now() + ANSWER) => Err(io::ErrorKind::TimedOut.into()),
         };
         match answer {
-            Ok((pass, listener, State { clock, withheld, list, learned, jobs })) => {
+            Ok((
+                pass,
+                listener,
+                State { clock, backends_in_maintenance, endpoints, learned_state, active_requests },
+            )) => {
                 // It was read after it was asked for: nothing counts as younger than it is.
                 let offset = clock.map_or(0, |clock| asked_at as ClockOffset - clock as ClockOffset);
                 self.clock_offset.set(offset);
-                let learned = learned.moved(offset);
-                tracing::info!(target: "upgrade", "takes over from the process that runs, which holds {jobs} jobs");
-                withheld.iter().for_each(|node| self.enter(node, true));
-                Some(Inherited { listener, list, learned, jobs, pass })
+                let learned_state = learned_state.with_clock_offset(offset);
+                tracing::info!(
+                    target: "upgrade",
+                    "takes over from the process that runs, which holds {active_requests} jobs"
+                );
+                backends_in_maintenance.iter().for_each(|backend| self.enter(backend, true));
+                Some(Takeover { listener, endpoints, learned_state, active_requests, channel: pass })
             }
             Err(e) => {
                 let nobody = [io::ErrorKind::NotFound, io::ErrorKind::ConnectionRefused].contains(&e.kind());
@@ -177,48 +193,50 @@
 
     /// What was withheld when a process of this name last wrote it down. Guards against a mark that is lost with a
     /// process that was killed, or with a hand-over that was cut.
-    fn read_withheld(&self, place: &Place) {
-        let nodes = match self.core.host.read_file(&place.withheld) {
+    fn read_withheld(&self, place: &HandoverPaths) {
+        let backends = match self.core.host.read_file(&place.withheld) {
             Ok(mut bytes) => {
                 simd_json::serde::from_slice::<Vec<String>>(&mut bytes).map_err(|e| e.to_string())
             }
             Err(e) if e.kind() == io::ErrorKind::NotFound => return,
             Err(e) => Err(e.to_string()),
         };
-        match nodes {
-            Ok(nodes) => nodes.iter().for_each(|node| self.enter(node, true)),
+        match backends {
+            Ok(backends) => backends.iter().for_each(|backend| self.enter(backend, true)),
             Err(e) => {
                 tracing::warn!(target: "upgrade", "{}: nothing is withheld: {e}", place.withheld.display())
             }
         }
     }
 
-    fn enter(&self, node: &str, withheld: bool) {
-        self.core.tell(Event::Maintenance(BackendId::from(node), withheld));
+    fn enter(&self, backend: &str, withheld: bool) {
+        self.core.dispatch_event(Event::Maintenance(BackendId::from(backend), withheld));
     }
 
     /// Has a backend withheld, or gives it back. It is in force, told to the process beside this one and written down
     /// before the yes.
-    pub fn withhold(self: &Rc<Self>, node: &str, withheld: bool) -> Mark {
-        if !self.core.knows(node) {
-            return Mark::Unknown;
+    pub fn set_maintenance(self: &Rc<Self>, backend: &str, withheld: bool) -> MaintenanceResult {
+        if !self.core.knows_backend(backend) {
+            return MaintenanceResult::UnknownBackend;
         }
-        self.enter(node, withheld);
-        self.beside.borrow_mut().retain(|one| one.send(Word::Withheld(node.to_string(), withheld)).is_ok());
+        self.enter(backend, withheld);
+        self.peers
+            .borrow_mut()
+            .retain(|one| one.send(HandoverMessage::Maintenance(backend.to_string(), withheld)).is_ok());
         if self.write_withheld() {
-            return Mark::Kept;
+            return MaintenanceResult::Persisted;
         }
         if !self.unwritten.replace(true) {
             self.core.host.spawn(self.clone().write_until_written());
         }
-        Mark::Unwritten
+        MaintenanceResult::NotPersisted
     }
 
     /// Writes down what is withheld, where a next process may look for it; false where that fails.
     fn write_withheld(&self) -> bool {
         let Some(place) = &self.place else { return true };
-        let nodes = serde_json::to_vec(&self.core.withheld()).unwrap_or_default();
-        let written = self.core.host.write_file(&place.withheld, &nodes);
+        let backends = serde_json::to_vec(&self.core.backends_in_maintenance()).unwrap_or_default();
+        let written = self.core.host.write_file(&place.withheld, &backends);
         if let Err(e) = &written {
             tracing::warn!(target: "upgrade", "{}: {e}", place.withheld.display());
         }
@@ -236,9 +254,9 @@
     }
 
     /// What this process has to tell another one from now on.
-    fn tells(&self) -> UnboundedReceiver<Word> {
+    fn tells(&self) -> UnboundedReceiver<HandoverMessage> {
         let (sender, words) = unbounded_channel();
-        self.beside.borrow_mut().push(sender);
+        self.peers.borrow_mut().push(sender);
         words
     }
 
@@ -246,18 +264,18 @@
     pub async fn serve(
         self: Rc<Self>,
         listener: Rc<Listener>,
-        list: Rc<RefCell<Roster>>,
+        list: Rc<RefCell<Endpoints>>,
         before: Option<(HandoverChannel, usize)>,
     ) {
-        if let Some((pass, jobs)) = before {
-            listener.held_elsewhere(jobs);
+        if let Some((pass, active_requests)) = before {
+            listener.set_predecessor_requests(active_requests);
             let (upgrades, beside) = (self.clone(), listener.clone());
             let released = Rc::new(tokio::sync::Notify::new());
             let rung = released.clone();
             self.core.host.spawn(async move {
-                let end = upgrades.follow(&pass, &beside, &rung).await;
+                let end = upgrades.follow_predecessor(&pass, &beside, &rung).await;
                 tracing::info!(target: "upgrade", "the process before has ended ({})", end.kind());
-                beside.held_elsewhere(0);
+                beside.set_predecessor_requests(0);
                 // One that has ended accepts no more.
                 rung.notify_one();
             });
@@ -275,7 +293,7 @@
                 Err(e) => Err(e),
             };
             match met {
-                Ok(pass) => self.hand_over(&pass, &listener, &list).await,
+                Ok(pass) => self.serve_successor(&pass, &listener, &list).await,
                 Err(e) => {
                     tracing::warn!(target: "upgrade", "{}: {e}", place.socket.display());
                     self.core.deadlines.until(self.core.now() + OFFER_PAUSE).await;
@@ -285,106 +303,132 @@
     }
 
     /// The new process's side, until the old one has ended; how it ended.
-    async fn follow(
+    async fn follow_predecessor(
         &self,
         pass: &HandoverChannel,
         listener: &Listener,
         released: &tokio::sync::Notify,
     ) -> io::Error {
         let mut tells = self.tells();
-        if let Err(e) = say(pass, &Word::Taken).await {
+        if let Err(e) = send_message(pass, &HandoverMessage::TakeoverStarted).await {
             return e;
         }
         loop {
             let heard = tokio::select! {
                 biased;
                 heard = pass.receive() => heard.and_then(read),
-                Some(word) = tells.recv() => match say(pass, &word).await {
+                Some(word) = tells.recv() => match send_message(pass, &word).await {
                     Ok(()) => continue,
                     Err(e) => return e,
                 },
             };
             match heard {
-                Ok(Word::Released) => released.notify_one(),
-                Ok(Word::Withheld(node, withheld)) => self.enter(&node, withheld),
-                Ok(Word::Jobs(jobs)) => listener.held_elsewhere(jobs),
-                Ok(Word::Connection(connection, flow)) => {
-                    let holds = self.adopt(pass, connection, flow);
+                Ok(HandoverMessage::AcceptStopped) => released.notify_one(),
+                Ok(HandoverMessage::Maintenance(backend, withheld)) => self.enter(&backend, withheld),
+                Ok(HandoverMessage::ActiveRequests(active_requests)) => {
+                    listener.set_predecessor_requests(active_requests)
+                }
+                Ok(HandoverMessage::Connection(connection, relay_state)) => {
+                    let holds = self.adopt(pass, connection, relay_state);
                     // It is none of the old one's any more, and counts here.
-                    listener.one_less_elsewhere(holds);
-                    if let Err(e) = say(pass, &Word::Holds(holds)).await {
+                    listener.release_predecessor_request(holds);
+                    if let Err(e) = send_message(pass, &HandoverMessage::ConnectionAccepted(holds)).await {
                         return e;
                     }
                 }
-                Ok(Word::State(_) | Word::Taken | Word::Holds(_)) => {}
+                Ok(
+                    HandoverMessage::State(_)
+                    | HandoverMessage::TakeoverStarted
+                    | HandoverMessage::ConnectionAccepted(_),
+                ) => {}
                 Err(e) => return e,
             }
         }
     }
 
-    fn adopt(&self, pass: &HandoverChannel, connection: Connection, flow: Flow) -> bool {
-        let (Ok(client), Ok(node)) = (pass.receive_stream(), pass.receive_stream()) else { return false };
-        let flow = flow.moved(self.clock_offset.get());
-        job::adopt(&self.core, self.front.clone(), connection, Standing { client, node, flow })
+    fn adopt(&self, pass: &HandoverChannel, connection: HandoverRecord, relay_state: RelayState) -> bool {
+        let (Ok(client), Ok(backend)) = (pass.receive_stream(), pass.receive_stream()) else { return false };
+        let relay_state = relay_state.with_clock_offset(self.clock_offset.get());
+        request_handler::adopt(
+            &self.core,
+            self.protocol.clone(),
+            connection,
+            EstablishedConnection { client, backend, state: relay_state },
+        )
     }
 
     /// The old process's side, until the new one has ended, or did not start in time.
-    async fn hand_over(&self, pass: &HandoverChannel, listener: &Listener, list: &RefCell<Roster>) {
+    async fn serve_successor(&self, pass: &HandoverChannel, listener: &Listener, list: &RefCell<Endpoints>) {
         let mut tells = self.tells();
         let state = State {
             clock: Some(self.core.now()),
-            withheld: self.core.withheld(),
-            list: list.borrow().clone(),
-            learned: self.core.learned_state(),
-            jobs: self.core.jobs(),
+            backends_in_maintenance: self.core.backends_in_maintenance(),
+            endpoints: list.borrow().clone(),
+            learned_state: self.core.learned_state(),
+            active_requests: self.core.active_requests(),
         };
-        let (sender, mut handed) = unbounded_channel::<HandedOn>();
-        let mut under_way: Option<(Standing, Done)> = None;
+        let (sender, mut handed) = unbounded_channel::<PendingHandover>();
+        let mut under_way: Option<(EstablishedConnection, Done)> = None;
         let end = async {
-            say_with(pass, &Word::State(state), &[PassedSocket::Listener(listener.socket())]).await?;
+            send_message_with(
+                pass,
+                &HandoverMessage::State(state),
+                &[PassedSocket::Listener(listener.socket())],
+            )
+            .await?;
             let (mut taken, mut told) = (false, None);
             let until = self.core.now() + START;
             loop {
                 tokio::select! {
                     biased;
                     heard = pass.receive() => match read(heard?)? {
-                        Word::Taken => {
+                        HandoverMessage::TakeoverStarted => {
                             tracing::info!(target: "upgrade", "the process after takes over");
-                            listener.close();
-                            self.core.set_after(Some(sender.clone()));
+                            listener.pause_accepting();
+                            self.core.set_successor(Some(sender.clone()));
                             taken = true;
-                            say(pass, &Word::Released).await?;
+                            send_message(pass, &HandoverMessage::AcceptStopped).await?;
                         }
-                        Word::Withheld(node, withheld) => self.enter(&node, withheld),
-                        Word::Holds(holds) => {
+                        HandoverMessage::Maintenance(backend, withheld) => self.enter(&backend, withheld),
+                        HandoverMessage::ConnectionAccepted(holds) => {
                             if let Some((standing, done)) = under_way.take() {
                                 // Its copies are closed here only now.
                                 let _ = done.send(if holds { Ok(()) } else { Err(standing) });
                             }
                         }
-                        Word::State(_) | Word::Released | Word::Jobs(_) | Word::Connection(..) => {}
+                        HandoverMessage::State(_)
+                        | HandoverMessage::AcceptStopped
+                        | HandoverMessage::ActiveRequests(_)
+                        | HandoverMessage::Connection(..) => {}
                     },
-                    Some(word) = tells.recv() => say(pass, &word).await?,
+                    Some(word) = tells.recv() => send_message(pass, &word).await?,
                     Some(one) = handed.recv(), if under_way.is_none() => {
-                        let HandedOn { connection, standing: Standing { client, node, flow }, done } = one;
-                        let word = Word::Connection(connection, flow);
-                        let sent = say_with(
+                        let PendingHandover {
+                            connection,
+                            standing: EstablishedConnection { client, backend, state: relay_state },
+                            done,
+                        } = one;
+                        let word = HandoverMessage::Connection(connection, relay_state);
+                        let sent = send_message_with(
                             pass,
                             &word,
-                            &[PassedSocket::Stream(&client), PassedSocket::Stream(&node)],
+                            &[PassedSocket::Stream(&client), PassedSocket::Stream(&backend)],
                         )
                         .await;
-                        let Word::Connection(_, flow) = word else { continue };
-                        under_way = Some((Standing { client, node, flow }, done));
+                        let HandoverMessage::Connection(_, relay_state) = word else { continue };
+                        under_way = Some((
+                            EstablishedConnection { client, backend, state: relay_state },
+                            done,
+                        ));
                         sent?;
                     }
                     () = self.core.deadlines.until(self.core.now() + STEP) => {
                         if !taken && self.core.now() > until {
                             return Err::<(), io::Error>(io::ErrorKind::TimedOut.into());
                         }
-                        let jobs = self.core.jobs();
-                        if taken && told.replace(jobs) != Some(jobs) {
-                            say(pass, &Word::Jobs(jobs)).await?;
+                        let active_requests = self.core.active_requests();
+                        if taken && told.replace(active_requests) != Some(active_requests) {
+                            send_message(pass, &HandoverMessage::ActiveRequests(active_requests)).await?;
                         }
                     }
                 }
@@ -393,25 +437,29 @@
         if let Err(e) = end.await {
             tracing::warn!(target: "upgrade", "the process after has ended ({}): this one goes on", e.kind());
         }
-        self.core.set_after(None);
+        self.core.set_successor(None);
         // What the other did not take goes on here.
         handed.close();
         let queued = std::iter::from_fn(|| handed.try_recv().ok()).map(|one| (one.standing, one.done));
         for (standing, done) in under_way.into_iter().chain(queued) {
             let _ = done.send(Err(standing));
         }
-        listener.open();
+        listener.resume_accepting();
     }
 }
 
-fn read(mut word: Vec<u8>) -> io::Result<Word> {
+fn read(mut word: Vec<u8>) -> io::Result<HandoverMessage> {
     simd_json::serde::from_slice(&mut word).map_err(|e| io::Error::new(io::ErrorKind::InvalidData, e))
 }
 
-async fn say(pass: &HandoverChannel, word: &Word) -> io::Result<()> {
-    say_with(pass, word, &[]).await
+async fn send_message(pass: &HandoverChannel, word: &HandoverMessage) -> io::Result<()> {
+    send_message_with(pass, word, &[]).await
 }
 
-async fn say_with(pass: &HandoverChannel, word: &Word, sockets: &[PassedSocket<'_>]) -> io::Result<()> {
+async fn send_message_with(
+    pass: &HandoverChannel,
+    word: &HandoverMessage,
+    sockets: &[PassedSocket<'_>],
+) -> io::Result<()> {
     pass.send(&serde_json::to_vec(word)?, sockets).await
 }
--- a/crates/world/src/real.rs
+++ b/crates/world/src/real.rs
@@ -9,7 +9,7 @@
 use crate::script::{Fault, Script};
 use crate::submitter::{Front, Outcome, Submitter};
 use pierloom_host::{Host, Local, Machine, Micros, Signal, Signals, TcpListener, TcpStream};
-use pierloom_proxy::{Handlers, Parts, config};
+use pierloom_proxy::{Components, SignalHandlers, config};
 use std::any::Any;
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -153,8 +153,8 @@
         let address = free(&director)?;
         let (host, kill) = process(&config_text(script, index, spec.seed, address, discovery, &book.whole()));
         let config = config::read(&host, Path::new("config"))?;
-        let parts = Parts::of(&config)?;
-        let handlers = Handlers::install(&host)?;
+        let parts = Components::from_config(&config)?;
+        let handlers = SignalHandlers::install(&host)?;
         let machine = host.clone();
         host.spawn(async move {
             // It ends with the run.
--- a/crates/world/src/run.rs
+++ b/crates/world/src/run.rs
@@ -10,7 +10,7 @@
 use crate::sim::{EPOCH, ProcessId, Sim};
 use crate::submitter::{Front, Outcome, Submitter};
 use pierloom_host::{Host, Micros, Signal};
-use pierloom_proxy::{Handlers, Parts, config};
+use pierloom_proxy::{Components, SignalHandlers, config};
 use rand::Rng as _;
 use serde::Serialize;
 use std::cell::{Cell, RefCell};
@@ -40,7 +40,7 @@
 const KILL_SLACK: Micros = 700_000;
 
 /// Builds a proxy's parts from its config; the usual ones, or ones with a planted defect.
-pub type Build = Rc<dyn Fn(&config::Config) -> Result<Parts, String>>;
+pub type Build = Rc<dyn Fn(&config::Config) -> Result<Components, String>>;
 
 /// What a run came to.
 #[derive(Clone, Debug, Serialize)]
@@ -213,7 +213,7 @@
         truths: RefCell::new(vec![NodeTruth::default(); names.len()]),
         front: Rc::default(),
         rng: RefCell::new(stream(script.order, "director")),
-        build: options.build.clone().unwrap_or_else(|| Rc::new(Parts::of)),
+        build: options.build.clone().unwrap_or_else(|| Rc::new(Components::from_config)),
         bend: options.bend,
         starts: Cell::new(0),
         ended: RefCell::new(vec![false; script.proxies.len()]),
@@ -345,7 +345,8 @@
         self.sim.observer.borrow_mut().enroll(id, Role::Proxy(index), &name);
         self.ended.borrow_mut()[index] = false;
         let read = config::read(&host, Path::new(CONFIG));
-        let parts = read.and_then(|config| Ok((Handlers::install(&host)?, (self.build)(&config)?, config)));
+        let parts =
+            read.and_then(|config| Ok((SignalHandlers::install(&host)?, (self.build)(&config)?, config)));
         let world = self.clone();
         let machine = host.clone();
         host.spawn(async move {
