--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -94,9 +94,8 @@
                 |e| if is_local_error(&e) { EndReason::LocalError } else { EndReason::ConnectionLost };
             stream.map_err(|e| ending(AttemptStage::NotConnected, reason(e)))?
         }
-        () = core.deadlines.until(connect_until) => {
-            return Err(ending(AttemptStage::NotConnected, EndReason::TimedOut));
-        }
+        () = core.deadlines.until(connect_until) =>
+            return Err(ending(AttemptStage::NotConnected, EndReason::TimedOut)),
         () = core.terminating.wait() => return Err(ending(AttemptStage::NotConnected, EndReason::ClientGone)),
     };
     let mut stage = AttemptStage::Connected;
--- a/crates/proxy/src/request_handler.rs
+++ b/crates/proxy/src/request_handler.rs
@@ -63,9 +63,8 @@
                 let attempt = tokio::select! {
                     biased;
                     left = breaks_off(&client) => return dismiss(&core, &*protocol, seat, client, left).await,
-                    attempt = attempt::run(&core, &*protocol, core.address(&backend), line, until, class) => {
-                        attempt
-                    }
+                    attempt = attempt::run(&core, &*protocol, core.address(&backend), line, until, class) =>
+                        attempt,
                 };
                 if let Some(left) = broke_off.get() {
                     return dismiss(&core, &*protocol, seat, client, left).await;
