--- a/crates/lab/src/defects.rs
+++ b/crates/lab/src/defects.rs
@@ -4,8 +4,8 @@
 use pierloom_decision::{Action, BackendId, Balancer, Event, Member, MemberState, Micros};
 use pierloom_proxy::front::{First, Front, Reply};
 use pierloom_proxy::{Decide, Parts};
-use pierloom_world::net::Bend;
-use pierloom_world::run::Build;
+use pierloom_world::net::InjectedDefect;
+use pierloom_world::run::ComponentFactory;
 use std::rc::Rc;
 use std::str::FromStr;
 
@@ -41,7 +41,7 @@
     /// Bad openings are taken for silence.
     BadIgnored,
     /// Of sockets or timers.
-    Net(Bend),
+    Net(InjectedDefect),
 }
 
 /// All of them, with their names.
@@ -56,12 +56,12 @@
     ("move-cut-short", Defect::MoveCutShort),
     ("panic-at-note", Defect::PanicAtNote),
     ("opening-changed", Defect::OpeningChanged),
-    ("reset-swallowed", Defect::Net(Bend::ResetSwallowed)),
-    ("end-swallowed", Defect::Net(Bend::EndSwallowed)),
-    ("wake-lost", Defect::Net(Bend::WakeLost)),
-    ("close-lost", Defect::Net(Bend::CloseLost)),
-    ("timer-late", Defect::Net(Bend::TimerLate)),
-    ("byte-doubled", Defect::Net(Bend::ByteDoubled)),
+    ("reset-swallowed", Defect::Net(InjectedDefect::ResetSwallowed)),
+    ("end-swallowed", Defect::Net(InjectedDefect::EndSwallowed)),
+    ("wake-lost", Defect::Net(InjectedDefect::WakeLost)),
+    ("close-lost", Defect::Net(InjectedDefect::CloseLost)),
+    ("timer-late", Defect::Net(InjectedDefect::TimerLate)),
+    ("byte-doubled", Defect::Net(InjectedDefect::ByteDoubled)),
     ("refusal-lost", Defect::RefusalLost),
     ("answer-late", Defect::AnswerLate),
     ("claim-twice", Defect::ClaimTwice),
@@ -103,15 +103,15 @@
 
 impl Defect {
     /// What of it is planted in the proxies' sockets and timers.
-    pub fn bend(self) -> Option<Bend> {
+    pub fn injected_defect(self) -> Option<InjectedDefect> {
         match self {
-            Defect::Net(bend) => Some(bend),
+            Defect::Net(injected_defect) => Some(injected_defect),
             _ => None,
         }
     }
 
     /// Builds proxies that have it.
-    pub fn build(self) -> Build {
+    pub fn build(self) -> ComponentFactory {
         Rc::new(move |config| {
             let parts = Parts::of(config)?;
             let module = Balancer::new(config.settings.clone(), config.seed).map_err(|e| e.to_string())?;
--- a/crates/lab/src/ledger.rs
+++ b/crates/lab/src/ledger.rs
@@ -8,7 +8,7 @@
 /// Sum the ledger lines of all logs in a folder, second by second.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "ledger")]
-pub struct Ledger {
+pub struct SumEventCounts {
     /// the folder; every file in it whose name ends in .log is read
     #[argh(positional)]
     folder: PathBuf,
@@ -118,7 +118,7 @@
     Ok(sums)
 }
 
-pub fn run(asked: &Ledger) -> Result<bool, String> {
+pub fn run(asked: &SumEventCounts) -> Result<bool, String> {
     let sums = read(&asked.folder)?;
     if asked.json {
         println!("{}", serde_json::to_string(&sums.seconds).map_err(|e| e.to_string())?);
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -8,7 +8,7 @@
 
 use argh::FromArgs;
 use pierloom_lab::defects::Defect;
-use pierloom_world::draw::draw;
+use pierloom_world::generate::generate_script;
 use pierloom_world::observer::Trace;
 use pierloom_world::run::{Options, Report, play};
 use pierloom_world::script::Script;
@@ -30,7 +30,7 @@
     Script(Print),
     Shrink(shrink::Shrink),
     Digest(Digest),
-    Ledger(ledger::Ledger),
+    Ledger(ledger::SumEventCounts),
 }
 
 /// Play one seed or one script, and say which rules broke and what led there.
@@ -84,13 +84,13 @@
         let text = std::fs::read_to_string(what).map_err(|e| format!("{what}: {e}"))?;
         return Script::read(what, &text);
     }
-    seed(what).map(draw)
+    seed(what).map(generate_script)
 }
 
 fn tell(report: &Report) {
-    for breach in &report.breaches {
-        println!("{:?} at {:.6} s: {}", breach.rule, breach.at as f64 / 1e6, breach.what);
-        breach.led_to.iter().for_each(|line| println!("    {line}"));
+    for violation in &report.violations {
+        println!("{:?} at {:.6} s: {}", violation.rule, violation.at as f64 / 1e6, violation.what);
+        violation.preceding_events.iter().for_each(|line| println!("    {line}"));
     }
     let counts = &report.counts;
     println!(
@@ -98,16 +98,16 @@
          service {:.4}; digest {:016x}; {} rules broken",
         report.length / 1_000_000,
         counts.connections,
-        counts.jobs,
+        counts.requests,
         counts.served,
         counts.refused,
         counts.failed,
-        counts.claims,
+        counts.attempts,
         counts.moves,
-        counts.crossings,
+        counts.network_events,
         report.service(),
         report.digest,
-        report.breaches.len()
+        report.violations.len()
     );
 }
 
@@ -115,13 +115,16 @@
     let script = script(&asked.what)?;
     let build = asked.defect.map(Defect::build);
     let trace = if asked.trace { Trace::Print } else { Trace::None };
-    let report = play(&script, &Options { trace, build, bend: asked.defect.and_then(Defect::bend) });
+    let report = play(
+        &script,
+        &Options { trace, build, injected_defect: asked.defect.and_then(Defect::injected_defect) },
+    );
     if asked.json {
         println!("{}", serde_json::to_string(&report).map_err(|e| e.to_string())?);
     } else {
         tell(&report);
     }
-    Ok(report.breaches.is_empty())
+    Ok(report.violations.is_empty())
 }
 
 fn write(path: &PathBuf, text: &str) -> Result<(), String> {
@@ -146,7 +149,7 @@
         Command::Seeds(asked) => seeds::run(&asked),
         Command::Replay(asked) => replay(&asked),
         Command::Script(asked) => seed(&asked.seed).map(|seed| {
-            print!("{}", draw(seed).print());
+            print!("{}", generate_script(seed).print());
             true
         }),
         Command::Shrink(asked) => shrink::run(&asked),
--- a/crates/lab/src/seeds.rs
+++ b/crates/lab/src/seeds.rs
@@ -3,7 +3,7 @@
 use argh::FromArgs;
 use indicatif::{ProgressBar, ProgressStyle};
 use pierloom_lab::defects::Defect;
-use pierloom_world::draw::draw;
+use pierloom_world::generate::generate_script;
 use pierloom_world::observer::Rule;
 use pierloom_world::run::{Options, play};
 use serde::Serialize;
@@ -43,40 +43,44 @@
     rules: Vec<Rule>,
     first: Option<String>,
     proxies: usize,
-    nodes: usize,
-    submitters: usize,
+    #[serde(rename = "nodes")]
+    backends: usize,
+    #[serde(rename = "submitters")]
+    clients: usize,
     faults: usize,
     seconds: f64,
-    crossings: u64,
-    jobs: u64,
+    #[serde(rename = "crossings")]
+    network_events: u64,
+    #[serde(rename = "jobs")]
+    requests: u64,
     service: f64,
 }
 
 fn play_one(seed: u64, defect: Option<Defect>) -> Played {
-    let script = draw(seed);
+    let script = generate_script(seed);
     let report = play(
         &script,
         &Options {
             build: defect.map(Defect::build),
-            bend: defect.and_then(Defect::bend),
+            injected_defect: defect.and_then(Defect::injected_defect),
             ..Options::default()
         },
     );
     Played {
         seed,
         digest: format!("{:016x}", report.digest),
-        rules: report.breaches.iter().map(|breach| breach.rule).collect(),
+        rules: report.violations.iter().map(|violation| violation.rule).collect(),
         first: report
-            .breaches
+            .violations
             .first()
-            .map(|breach| format!("{:.3} s: {}", breach.at as f64 / 1e6, breach.what)),
+            .map(|violation| format!("{:.3} s: {}", violation.at as f64 / 1e6, violation.what)),
         proxies: script.proxies.len(),
-        nodes: script.nodes.len(),
-        submitters: script.submitters.len(),
+        backends: script.backends.len(),
+        clients: script.clients.len(),
         faults: script.faults.len(),
         seconds: report.length as f64 / 1e6,
-        crossings: report.counts.crossings,
-        jobs: report.counts.jobs,
+        network_events: report.counts.network_events,
+        requests: report.counts.requests,
         service: report.service(),
     }
 }
@@ -152,11 +156,11 @@
         played.len() as f64 / took,
         mean(|one| one.seconds),
         mean(|one| one.proxies as f64),
-        mean(|one| one.nodes as f64),
-        mean(|one| one.submitters as f64),
+        mean(|one| one.backends as f64),
+        mean(|one| one.clients as f64),
         mean(|one| one.faults as f64),
-        mean(|one| one.jobs as f64),
-        mean(|one| one.crossings as f64),
+        mean(|one| one.requests as f64),
+        mean(|one| one.network_events as f64),
         mean(|one| one.service),
     );
 }
--- a/crates/lab/src/shrink.rs
+++ b/crates/lab/src/shrink.rs
@@ -25,7 +25,7 @@
 
 /// Whether that rule still breaks.
 fn breaks(script: &Script, rule: Rule, options: &Options) -> bool {
-    play(script, options).breaches.iter().any(|breach| breach.rule == rule)
+    play(script, options).violations.iter().any(|violation| violation.rule == rule)
 }
 
 /// The fewest of these, as far as found, with which `still` holds; it holds with all.
@@ -52,17 +52,17 @@
 pub fn run(asked: &Shrink) -> Result<bool, String> {
     let options = Options {
         build: asked.defect.map(Defect::build),
-        bend: asked.defect.and_then(Defect::bend),
+        injected_defect: asked.defect.and_then(Defect::injected_defect),
         ..Options::default()
     };
     let mut script = crate::script(&asked.what)?;
     let report = play(&script, &options);
-    let Some(first) = report.breaches.first() else {
+    let Some(first) = report.violations.first() else {
         println!("no rule breaks");
         return Ok(true);
     };
     let rule = first.rule;
-    let size = |script: &Script| (script.faults.len(), script.submitters.len(), script.nodes.len());
+    let size = |script: &Script| (script.faults.len(), script.clients.len(), script.backends.len());
     let before = size(&script);
     // What comes after the breach is not needed; the end of a run looks for leftovers, so it stays an end.
     loop {
@@ -70,14 +70,15 @@
         script.faults = fewest(&script.faults.clone(), |faults| {
             breaks(&Script { faults: faults.to_vec(), ..script.clone() }, rule, &options)
         });
-        script.submitters = fewest(&script.submitters.clone(), |submitters| {
-            breaks(&Script { submitters: submitters.to_vec(), ..script.clone() }, rule, &options)
+        script.clients = fewest(&script.clients.clone(), |clients| {
+            breaks(&Script { clients: clients.to_vec(), ..script.clone() }, rule, &options)
         });
-        script.nodes = fewest(&script.nodes.clone(), |nodes| {
-            let named = |fault: &Fault| fault.node().is_none_or(|name| nodes.iter().any(|n| n.name == name));
-            !nodes.is_empty()
+        script.backends = fewest(&script.backends.clone(), |backends| {
+            let named =
+                |fault: &Fault| fault.backend().is_none_or(|name| backends.iter().any(|n| n.name == name));
+            !backends.is_empty()
                 && script.faults.iter().all(named)
-                && breaks(&Script { nodes: nodes.to_vec(), ..script.clone() }, rule, &options)
+                && breaks(&Script { backends: backends.to_vec(), ..script.clone() }, rule, &options)
         });
         if size(&script) == at {
             break;
--- a/crates/lab/tests/common/mod.rs
+++ b/crates/lab/tests/common/mod.rs
@@ -1,10 +1,10 @@
 //! A small site that the tests change as they need.
 
-use pierloom_world::script::{Contract, FORMAT, LinkSpec, NodeSpec, ProxySpec, Script, SubmitterSpec};
+use pierloom_world::script::{BackendSpec, ClientSpec, Contract, FORMAT, LinkSpec, ProxySpec, Script};
 
 /// Two proxies, six execute nodes, and a submitter every `gap` milliseconds.
-pub fn calm(submitters: u64, gap: u64) -> Script {
-    let node = |i: usize| NodeSpec {
+pub fn calm(clients: u64, gap: u64) -> Script {
+    let backend = |i: usize| BackendSpec {
         name: format!("label-{i}"),
         zone: i % 2,
         cores: 2,
@@ -18,7 +18,7 @@
         noise: 0.1,
         sends_away: false,
     };
-    let submitter = |i: u64| SubmitterSpec {
+    let client = |i: u64| ClientSpec {
         at_ms: 500 + i * gap,
         zone: (i % 2) as usize,
         key: i,
@@ -55,8 +55,8 @@
         proxies: (0..2)
             .map(|i| ProxySpec { zone: i, descriptors: 512, told_descriptors: None, seed: i as u64 })
             .collect(),
-        nodes: (0..6).map(node).collect(),
-        submitters: (0..submitters).map(submitter).collect(),
+        backends: (0..6).map(backend).collect(),
+        clients: (0..clients).map(client).collect(),
         faults: Vec::new(),
     }
 }
--- a/crates/lab/tests/hard_cases.rs
+++ b/crates/lab/tests/hard_cases.rs
@@ -5,7 +5,7 @@
 use common::calm;
 use pierloom_host::Micros;
 use pierloom_world::observer::Trace;
-use pierloom_world::run::{Options, Report, alone, play};
+use pierloom_world::run::{Options, Report, play, single_process};
 use pierloom_world::script::{Fault, Script};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -17,7 +17,7 @@
         .map(|order| {
             let script = Script { order, ..script.clone() };
             let report = play(&script, &Options { trace: Trace::Keep, ..Options::default() });
-            assert!(report.breaches.is_empty(), "order {order}: {:#?}", report.breaches);
+            assert!(report.violations.is_empty(), "order {order}: {:#?}", report.violations);
             report
         })
         .collect()
@@ -37,7 +37,7 @@
 #[test]
 fn timers_due_in_the_same_instant_come_in_both_orders() {
     let first = |seed| {
-        let (sim, host) = alone(seed);
+        let (sim, host) = single_process(seed);
         let woken = Rc::new(RefCell::new(Vec::new()));
         for name in ["a", "b"] {
             let (machine, woken) = (host.clone(), woken.clone());
@@ -65,15 +65,15 @@
     let mut script = calm(80, 100);
     (script.links.lossy, script.links.same_us, script.links.cross_us) = (1.0, 20_000, 60_000);
     // Lives that end as a line has just been sent: each two seconds after the last.
-    for (i, submitter) in script.submitters.iter_mut().enumerate() {
-        (submitter.resets, submitter.life_ms) = (true, 3_000 + 40 * i as u64);
+    for (i, client) in script.clients.iter_mut().enumerate() {
+        (client.resets, client.life_ms) = (true, 3_000 + 40 * i as u64);
         // Some leave while their opening is on its way.
-        submitter.leaves_ms = (i % 4 == 0).then_some(0);
+        client.leaves_ms = (i % 4 == 0).then_some(0);
     }
     for at_ms in (2_000..9_000).step_by(1_000) {
         for i in 0..6 {
-            let (node, at_ms) = (format!("label-{i}"), at_ms + i * 70);
-            script.faults.push(Fault::Crash { node, at_ms, until_ms: Some(at_ms + 500) });
+            let (backend, at_ms) = (format!("label-{i}"), at_ms + i * 70);
+            script.faults.push(Fault::Crash { node: backend, at_ms, until_ms: Some(at_ms + 500) });
         }
     }
     let reports = keeps_the_rules(&script, 6);
@@ -82,7 +82,7 @@
         let mut lost = 0;
         for report in &reports {
             let mut under_way: BTreeMap<&str, i64> = BTreeMap::new();
-            for (_, words) in report.told.iter().map(|line| parsed(line)) {
+            for (_, words) in report.trace_lines.iter().map(|line| parsed(line)) {
                 let mine = words.split_once(' ').is_some_and(|(_, rest)| rest.starts_with(side));
                 if !mine || !words.contains(" p") {
                     continue;
@@ -98,19 +98,19 @@
         }
         lost
     };
-    let (nodes, submitters) = (lost("label-"), lost("submitter "));
-    assert!(nodes > 0 && submitters > 0, "lost from nodes {nodes}, from submitters {submitters}");
+    let (backends, clients) = (lost("label-"), lost("submitter "));
+    assert!(backends > 0 && clients > 0, "lost from nodes {backends}, from submitters {clients}");
 }
 
 #[test]
-fn a_drain_told_in_the_middle_of_a_claim() {
+fn a_drain_told_in_the_middle_of_an_attempt() {
     // Set-ups take long, so that claims are out when the drain is told.
     let mut script = calm(150, 60);
-    script.nodes.iter_mut().for_each(|node| node.setup_ms = 120.0);
+    script.backends.iter_mut().for_each(|backend| backend.setup_ms = 120.0);
     for (i, at_ms) in [(0, 3_000), (1, 5_000), (2, 7_000)] {
-        let node = format!("label-{i}");
+        let backend = format!("label-{i}");
         script.faults.push(Fault::Drain {
-            node,
+            node: backend,
             at_ms,
             stop_ms: at_ms + 4_000,
             until_ms: Some(at_ms + 6_000),
@@ -119,15 +119,15 @@
     let reports = keeps_the_rules(&script, 4);
     let mut met = 0;
     for report in &reports {
-        let told: Vec<(Micros, &str)> = report.told.iter().map(|line| parsed(line)).collect();
-        for (at, words) in told.iter().filter(|(_, words)| words.contains("discovery reaches p0")) {
+        let trace_lines: Vec<(Micros, &str)> = report.trace_lines.iter().map(|line| parsed(line)).collect();
+        for (at, words) in trace_lines.iter().filter(|(_, words)| words.contains("discovery reaches p0")) {
             // A claim of p0's that opened shortly before and came up or was turned away shortly after.
-            let opened = told.iter().filter(|(t, w)| {
+            let opened = trace_lines.iter().filter(|(t, w)| {
                 w.contains("p0 sends to label-") && w.contains("OPEN ") && t + 60_000 > *at && t < at
             });
             met += opened
                 .filter(|(_, w)| {
-                    told.iter().any(|(t, answer)| {
+                    trace_lines.iter().any(|(t, answer)| {
                         connection(answer) == connection(w) && answer.contains("reaches p0") && t > at
                     })
                 })
@@ -139,17 +139,17 @@
 }
 
 #[test]
-fn a_report_that_arrives_after_its_node_died_and_came_back_cold() {
+fn a_report_that_arrives_after_its_backend_died_and_came_back_cold() {
     let mut script = calm(120, 80);
     script.faults.push(Fault::LateReports { at_ms: 1_000, until_ms: 18_000, by_ms: 4_000 });
     for i in 0..3 {
-        let node = format!("label-{i}");
+        let backend = format!("label-{i}");
         let at_ms = 4_000 + i * 1_500;
-        script.faults.push(Fault::Crash { node, at_ms, until_ms: Some(at_ms + 400) });
+        script.faults.push(Fault::Crash { node: backend, at_ms, until_ms: Some(at_ms + 400) });
     }
     let reports = keeps_the_rules(&script, 6);
     // The node that is back answers probes.
-    let answers = reports.iter().flat_map(|report| &report.told);
+    let answers = reports.iter().flat_map(|report| &report.trace_lines);
     let answers = answers.filter(|line| line.contains("label-0 reaches p") && line.contains("PONG x0"));
     assert!(answers.map(|line| parsed(line).0).any(|at| at > 4_400_000));
 }
@@ -170,32 +170,32 @@
 fn discovery_cut_silently_while_it_tells_of_a_drain() {
     for gap in [0, 1, 2, 50] {
         let mut script = calm(100, 100);
-        let node = "label-0".to_string();
+        let backend = "label-0".to_string();
         let (stop_ms, until_ms) = (11_000, Some(12_000));
-        script.faults.push(Fault::Drain { node, at_ms: 5_000, stop_ms, until_ms });
+        script.faults.push(Fault::Drain { node: backend, at_ms: 5_000, stop_ms, until_ms });
         script.faults.push(Fault::DiscoveryCut { at_ms: 5_000 + gap, until_ms: 9_000 });
         keeps_the_rules(&script, 3);
     }
 }
 
 #[test]
-fn a_submitter_that_leaves_in_the_instant_of_its_up() {
+fn a_client_that_leaves_in_the_instant_of_its_up() {
     // Links without jitter: an answer takes as long each time, and some leave just when it is under way.
     let mut script = calm(160, 40);
     script.links.jitter = 0.0;
-    for (i, submitter) in script.submitters.iter_mut().enumerate() {
-        submitter.leaves_ms = Some(1 + i as u64 % 16);
-        submitter.resets = i % 3 == 0;
+    for (i, client) in script.clients.iter_mut().enumerate() {
+        client.leaves_ms = Some(1 + i as u64 % 16);
+        client.resets = i % 3 == 0;
     }
     let reports = keeps_the_rules(&script, 4);
     let mut met = 0;
     for report in &reports {
-        let told: Vec<(Micros, &str)> = report.told.iter().map(|line| parsed(line)).collect();
+        let trace_lines: Vec<(Micros, &str)> = report.trace_lines.iter().map(|line| parsed(line)).collect();
         for (at, words) in
-            told.iter().filter(|(_, w)| w.contains("sends to submitter") && w.contains("\"UP "))
+            trace_lines.iter().filter(|(_, w)| w.contains("sends to submitter") && w.contains("\"UP "))
         {
             // It left before the answer reached it, and the proxy did not know yet.
-            met += told
+            met += trace_lines
                 .iter()
                 .filter(|(t, w)| {
                     connection(w) == connection(words)
@@ -211,29 +211,29 @@
 }
 
 #[test]
-fn the_last_byte_of_open_written_as_the_node_resets() {
+fn the_last_byte_of_open_written_as_the_backend_resets() {
     // A window smaller than the line: its last bytes are written later than its first ones.
     // That end is on its way for 50 ms between zones, and 40 lines are written there each second before a crash.
     let mut script = calm(400, 20);
     (script.links.window, script.links.partial, script.links.cross_us) = (64, 0.5, 50_000);
     for i in 0..6 {
         for at_ms in [2_000, 4_000, 6_000] {
-            let (node, at_ms) = (format!("label-{i}"), at_ms + i * 131);
-            script.faults.push(Fault::Crash { node, at_ms, until_ms: Some(at_ms + 800) });
+            let (backend, at_ms) = (format!("label-{i}"), at_ms + i * 131);
+            script.faults.push(Fault::Crash { node: backend, at_ms, until_ms: Some(at_ms + 800) });
         }
     }
     let reports = keeps_the_rules(&script, 4);
     let mut met = 0;
     for report in &reports {
-        let told: Vec<(Micros, &str)> = report.told.iter().map(|line| parsed(line)).collect();
-        for (i, (_, words)) in told.iter().enumerate() {
+        let trace_lines: Vec<(Micros, &str)> = report.trace_lines.iter().map(|line| parsed(line)).collect();
+        for (i, (_, words)) in trace_lines.iter().enumerate() {
             if !(words.contains(" sends to p") && words.contains(" label-") && words.ends_with("a reset")) {
                 continue;
             }
             let mine = |w: &&(Micros, &str)| connection(w.1) == connection(words);
-            let sent = told.iter().filter(mine).filter(|(_, w)| w.contains("sends to label-"));
+            let sent = trace_lines.iter().filter(mine).filter(|(_, w)| w.contains("sends to label-"));
             let wrote_all = sent.clone().any(|(_, w)| w.contains("\\r\\n\""));
-            let heard_all = told[..i]
+            let heard_all = trace_lines[..i]
                 .iter()
                 .filter(mine)
                 .any(|(_, w)| w.contains("reaches label-") && w.contains("\\r\\n\""));
@@ -245,7 +245,7 @@
 }
 
 #[test]
-fn all_nodes_gone_and_back() {
+fn all_backends_gone_and_back() {
     let mut script = calm(120, 80);
     for i in 0..6 {
         script.faults.push(Fault::Crash { node: format!("label-{i}"), at_ms: 6_000, until_ms: Some(9_000) });
@@ -253,7 +253,7 @@
     let reports = keeps_the_rules(&script, 6);
     for report in &reports {
         let after = |at: f64, what: &str| {
-            report.told.iter().any(|line| parsed(line).0 as f64 > at * 1e6 && line.contains(what))
+            report.trace_lines.iter().any(|line| parsed(line).0 as f64 > at * 1e6 && line.contains(what))
         };
         assert!(after(6.1, "\"BUSY") && after(9.5, "\"UP "), "refused meanwhile, and served again");
     }
@@ -262,7 +262,7 @@
 #[test]
 fn out_of_descriptors_while_draining() {
     let mut script = calm(150, 40);
-    script.submitters.iter_mut().for_each(|s| s.zone = 0);
+    script.clients.iter_mut().for_each(|s| s.zone = 0);
     // As many as the system allows are fewer than the proxy is told: it meets the wall.
     for proxy in &mut script.proxies {
         (proxy.descriptors, proxy.told_descriptors) = (96, Some(512));
--- a/crates/lab/tests/real.rs
+++ b/crates/lab/tests/real.rs
@@ -10,9 +10,9 @@
 /// Both give each submitter the same answers, and services that lie as close as that.
 fn agree(script: &Script, within: f64) {
     let made = play(script, &Options::default());
-    assert!(made.breaches.is_empty(), "{:#?}", made.breaches);
+    assert!(made.violations.is_empty(), "{:#?}", made.violations);
     let real = real::play(script).unwrap();
-    let answers = |outcomes: &[pierloom_world::submitter::Outcome]| {
+    let answers = |outcomes: &[pierloom_world::client::Outcome]| {
         outcomes.iter().map(|outcome| outcome.answers.clone()).collect::<Vec<_>>()
     };
     let (virtually, really) = (service(&made.outcomes), service(&real.outcomes));
@@ -25,7 +25,7 @@
 fn short() -> Script {
     let mut script = calm(40, 100);
     script.links.cross_us = 200;
-    script.submitters.iter_mut().for_each(|submitter| submitter.life_ms = 6_000);
+    script.clients.iter_mut().for_each(|client| client.life_ms = 6_000);
     script
 }
 
--- a/crates/lab/tests/seeds.rs
+++ b/crates/lab/tests/seeds.rs
@@ -3,7 +3,7 @@
 #![allow(clippy::disallowed_types, clippy::disallowed_methods)] // the lab's program and its files
 
 use pierloom_lab::defects::{DEFECTS, FOUND};
-use pierloom_world::draw::draw;
+use pierloom_world::generate::generate_script;
 use pierloom_world::run::{Options, play};
 use pierloom_world::script::Script;
 use std::path::{Path, PathBuf};
@@ -47,7 +47,7 @@
         let script = std::fs::read_to_string(&path).unwrap();
         let script = Script::read(path.to_str().unwrap(), &script).unwrap();
         let report = play(&script, &Options::default());
-        assert!(report.breaches.is_empty(), "{}: {:#?}", path.display(), report.breaches);
+        assert!(report.violations.is_empty(), "{}: {:#?}", path.display(), report.violations);
         played += 1;
     }
     assert!(played > 0, "there is no corpus");
@@ -56,7 +56,7 @@
 #[test]
 fn a_printed_script_plays_as_its_seed_does() {
     for seed in 0..5 {
-        let drawn = draw(seed);
+        let drawn = generate_script(seed);
         let read = Script::read("printed", &drawn.print()).unwrap();
         assert_eq!(read, drawn);
         let digest = |script| play(script, &Options::default()).digest;
@@ -68,8 +68,12 @@
 fn planted_defects_are_found() {
     for (name, defect) in DEFECTS.iter().filter(|(name, _)| FOUND.contains(name)) {
         let found = (0..60).find(|&seed| {
-            let options = Options { build: Some(defect.build()), bend: defect.bend(), ..Options::default() };
-            !play(&draw(seed), &options).breaches.is_empty()
+            let options = Options {
+                build: Some(defect.build()),
+                injected_defect: defect.injected_defect(),
+                ..Options::default()
+            };
+            !play(&generate_script(seed), &options).violations.is_empty()
         });
         assert!(found.is_some(), "{name} is not found in 60 seeds");
     }
@@ -77,7 +81,7 @@
 
 #[test]
 fn a_bad_script_is_refused_with_file_line_and_key() {
-    let good = draw(3).print();
+    let good = generate_script(3).print();
     let fault = |text: &str| format!("{good}\n[[fault]]\n{text}");
     let lines = good.lines().count();
     let cases = [
--- a/crates/world/src/node.rs
+++ b/crates/world/src/backend.rs
@@ -3,7 +3,7 @@
 
 use crate::lines::{Lines, write};
 use crate::rng::Rng;
-use crate::script::NodeSpec;
+use crate::script::BackendSpec;
 use pierloom_host::{Host, Micros, TcpListener, TcpStream};
 use rand::Rng as _;
 use std::cell::{Cell, RefCell};
@@ -22,7 +22,7 @@
 
 /// How a cold start goes.
 #[derive(Clone, Copy, Debug)]
-pub struct Warming {
+pub struct SlowStart {
     /// Share of its capacity at the start.
     pub from: f64,
     /// Warm after this; microseconds.
@@ -30,7 +30,7 @@
 }
 
 /// What befalls all execute nodes or one of them while it runs.
-pub struct Weather {
+pub struct Degradation {
     /// This many times slower.
     pub slow: Cell<f64>,
     /// Share that another program takes, on and off by the second.
@@ -39,10 +39,10 @@
     pub late: Rc<Cell<Micros>>,
 }
 
-impl Weather {
+impl Degradation {
     /// Nothing out of the ordinary, with reports that are late as that says.
-    pub fn fair(late: Rc<Cell<Micros>>) -> Rc<Self> {
-        Rc::new(Weather { slow: Cell::new(1.0), neighbour: Cell::new(0.0), late })
+    pub fn none(late: Rc<Cell<Micros>>) -> Rc<Self> {
+        Rc::new(Degradation { slow: Cell::new(1.0), neighbour: Cell::new(0.0), late })
     }
 }
 
@@ -52,13 +52,13 @@
 }
 
 /// One execute node's process.
-pub struct Node {
-    spec: NodeSpec,
+pub struct Backend {
+    spec: BackendSpec,
     host: Host,
-    warming: Warming,
+    slow_start: SlowStart,
     /// When it started, if cold.
     cold_since: Option<Micros>,
-    weather: Rc<Weather>,
+    degradation: Rc<Degradation>,
     rng: RefCell<Rng>,
     held: RefCell<BTreeMap<u64, Held>>,
     next: Cell<u64>,
@@ -69,22 +69,22 @@
     reports: RefCell<Vec<(Micros, String)>>,
 }
 
-impl Node {
+impl Backend {
     /// An execute node that has just started, cold if a time says so.
     pub fn new(
-        spec: NodeSpec,
+        spec: BackendSpec,
         host: Host,
-        warming: Warming,
+        slow_start: SlowStart,
         cold_since: Option<Micros>,
-        weather: Rc<Weather>,
+        degradation: Rc<Degradation>,
         rng: Rng,
     ) -> Rc<Self> {
-        Rc::new(Node {
+        Rc::new(Backend {
             spec,
             host,
-            warming,
+            slow_start,
             cold_since,
-            weather,
+            degradation,
             rng: RefCell::new(rng),
             held: RefCell::default(),
             next: Cell::new(0),
@@ -101,8 +101,8 @@
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    let node = self.clone();
-                    self.host.spawn(async move { node.hear(stream).await });
+                    let backend = self.clone();
+                    self.host.spawn(async move { backend.hear(stream).await });
                 }
                 Err(_) => self.host.sleep_until(self.host.now() + 10_000).await,
             }
@@ -120,12 +120,12 @@
     /// Part of its speed that it has now.
     fn vigour(&self) -> f64 {
         let now = self.host.now();
-        let age = self.cold_since.map_or(self.warming.time, |since| now.saturating_sub(since));
-        let warm = (age as f64 / self.warming.time as f64).min(1.0);
-        let cold = self.warming.from + (1.0 - self.warming.from) * warm;
+        let age = self.cold_since.map_or(self.slow_start.time, |since| now.saturating_sub(since));
+        let warm = (age as f64 / self.slow_start.time as f64).min(1.0);
+        let cold = self.slow_start.from + (1.0 - self.slow_start.from) * warm;
         let on = (now / 1_000_000).is_multiple_of(2);
-        let taken = if on { self.weather.neighbour.get() } else { 0.0 };
-        cold * (1.0 - taken) / self.weather.slow.get()
+        let taken = if on { self.degradation.neighbour.get() } else { 0.0 };
+        cold * (1.0 - taken) / self.degradation.slow.get()
     }
 
     /// Load asked of it over what it can do.
@@ -155,7 +155,7 @@
             let text = format!("x0={load:.4},latency_ms={work:.2},eps=0,util={:.3}", load.min(1.0));
             reports.push((now, text));
         }
-        let seen = now.saturating_sub(self.weather.late.get());
+        let seen = now.saturating_sub(self.degradation.late.get());
         let known = reports.iter().rposition(|(at, _)| *at <= seen).unwrap_or(0);
         reports.drain(..known);
         reports[0].1.clone()
@@ -200,7 +200,7 @@
         let number = self.next.replace(self.next.get() + 1);
         let load = 0.4 + 1.2 * self.rng.borrow_mut().random::<f64>();
         self.held.borrow_mut().insert(number, Held { load, group });
-        let place = Place { node: self.clone(), number };
+        let place = Place { backend: self.clone(), number };
         if write(&lines.stream, format!("UP r{number}\r\n").as_bytes()).await.is_ok() {
             self.serve_lines(&mut lines, number).await;
         }
@@ -249,19 +249,19 @@
 }
 
 /// Connections of mean load that fill an execute node.
-pub fn capacity(spec: &NodeSpec) -> f64 {
+pub fn capacity(spec: &BackendSpec) -> f64 {
     f64::from(spec.cores) * spec.speed * spec.per_core
 }
 
 /// A connection's place, free again however it ends.
 struct Place {
-    node: Rc<Node>,
+    backend: Rc<Backend>,
     number: u64,
 }
 
 impl Drop for Place {
     fn drop(&mut self) {
-        self.node.held.borrow_mut().remove(&self.number);
+        self.backend.held.borrow_mut().remove(&self.number);
     }
 }
 
--- a/crates/world/src/submitter.rs
+++ b/crates/world/src/client.rs
@@ -3,7 +3,7 @@
 
 use crate::lines::{Lines, within, write};
 use crate::rng::Rng;
-use crate::script::{Bad, SubmitterSpec};
+use crate::script::{ClientSpec, Misbehavior};
 use pierloom_host::{Host, Micros};
 use rand::Rng as _;
 use rand::seq::IndexedRandom;
@@ -29,12 +29,12 @@
 
 /// The front: which proxies take submitters, as far as it knows.
 #[derive(Default)]
-pub struct Front {
+pub struct ProxySelector {
     /// Zone, address, and whether it is taken in.
     pub proxies: RefCell<Vec<(usize, SocketAddr, bool)>>,
 }
 
-impl Front {
+impl ProxySelector {
     fn pick(&self, zone: usize, rng: &mut Rng) -> Option<SocketAddr> {
         let proxies = self.proxies.borrow();
         let there: Vec<_> = proxies.iter().filter(|proxy| proxy.2).collect();
@@ -66,15 +66,15 @@
 }
 
 /// One submitter.
-pub struct Submitter {
+pub struct Client {
     /// What it is.
-    pub spec: SubmitterSpec,
+    pub spec: ClientSpec,
     /// Its place in the script, which makes its ids.
     pub index: usize,
     /// Its machine.
     pub host: Host,
     /// The front.
-    pub front: Rc<Front>,
+    pub proxy_selector: Rc<ProxySelector>,
     /// Its own draws.
     pub rng: RefCell<Rng>,
     /// How long it waits for an answer; milliseconds.
@@ -101,7 +101,7 @@
     Failed,
 }
 
-impl Submitter {
+impl Client {
     fn draw(&self, range: std::ops::Range<Micros>) -> Micros {
         self.rng.borrow_mut().random_range(range)
     }
@@ -147,7 +147,7 @@
     }
 
     async fn attempt(&self, until: Micros, again: bool, retry: bool) -> End {
-        let proxy = self.front.pick(self.spec.zone, &mut self.rng.borrow_mut());
+        let proxy = self.proxy_selector.pick(self.spec.zone, &mut self.rng.borrow_mut());
         let Some(proxy) = proxy else { return End::Failed };
         let wait = self.deadline_ms * 1_000;
         let connect = within(&self.host, self.host.now() + wait, self.host.connect(proxy)).await;
@@ -254,22 +254,22 @@
     }
 
     /// Keeps no protocol, and reads what it is sent.
-    async fn misbehave(&self, bad: Bad) {
-        let proxy = self.front.pick(self.spec.zone, &mut self.rng.borrow_mut());
+    async fn misbehave(&self, bad: Misbehavior) {
+        let proxy = self.proxy_selector.pick(self.spec.zone, &mut self.rng.borrow_mut());
         let Some(proxy) = proxy else { return };
         let Ok(stream) = self.host.connect(proxy).await else { return };
         let mut lines = Lines::new(stream);
         let stream = lines.stream.clone();
         let bytes: Vec<u8> = match bad {
-            Bad::Silent => Vec::new(),
-            Bad::Garbage => (0..400).map(|_| self.rng.borrow_mut().random()).collect(),
-            Bad::NoEnd => vec![b'a'; 6_000],
-            Bad::WrongClass => b"OPEN ba0 k c=nothing,d=4800\r\n".to_vec(),
-            Bad::WrongDeadline => b"OPEN ba1 k c=status-feed,d=soon\r\n".to_vec(),
-            Bad::NoId => b"OPEN  c=status-feed,d=4800\r\n".to_vec(),
-            Bad::Half => b"OPEN ba2 k c=sta".to_vec(),
-            Bad::Commands => b"OPEN ba3 k c=status-feed,d=4800\r\n".repeat(300),
-            Bad::Huge => {
+            Misbehavior::Silent => Vec::new(),
+            Misbehavior::Garbage => (0..400).map(|_| self.rng.borrow_mut().random()).collect(),
+            Misbehavior::NoEnd => vec![b'a'; 6_000],
+            Misbehavior::WrongClass => b"OPEN ba0 k c=nothing,d=4800\r\n".to_vec(),
+            Misbehavior::WrongDeadline => b"OPEN ba1 k c=status-feed,d=soon\r\n".to_vec(),
+            Misbehavior::NoId => b"OPEN  c=status-feed,d=4800\r\n".to_vec(),
+            Misbehavior::Half => b"OPEN ba2 k c=sta".to_vec(),
+            Misbehavior::Commands => b"OPEN ba3 k c=status-feed,d=4800\r\n".repeat(300),
+            Misbehavior::Huge => {
                 let mut line = b"OPEN ba4 k c=status-feed,d=4800,g=".to_vec();
                 line.resize(HUGE, b'9');
                 line
@@ -277,7 +277,7 @@
         };
         // Whether it is let write everything is the proxy's choice.
         let say = async {
-            if write(&stream, &bytes).await.is_ok() && bad == Bad::Half {
+            if write(&stream, &bytes).await.is_ok() && bad == Misbehavior::Half {
                 let _ = stream.finish();
             }
             std::future::pending::<()>().await;
--- a/crates/world/src/discovery.rs
+++ b/crates/world/src/discovery.rs
@@ -41,7 +41,7 @@
 }
 
 /// The list and its history. It outlives the service's process.
-pub struct Book {
+pub struct EndpointStore {
     entries: RefCell<Vec<Entry>>,
     history: RefCell<Vec<(u64, Entry)>>,
     index: Cell<u64>,
@@ -54,10 +54,10 @@
     free_at: Cell<Micros>,
 }
 
-impl Book {
+impl EndpointStore {
     /// A list of version 1.
     pub fn new(entries: Vec<Entry>) -> Rc<Self> {
-        Rc::new(Book {
+        Rc::new(EndpointStore {
             entries: RefCell::new(entries),
             history: RefCell::default(),
             index: Cell::new(1),
@@ -69,7 +69,7 @@
     }
 
     /// Enters a change and tells whoever watches.
-    pub fn tell(&self, entry: Entry) {
+    pub fn publish(&self, entry: Entry) {
         let index = self.index.get() + 1;
         {
             let mut entries = self.entries.borrow_mut();
@@ -84,7 +84,7 @@
     }
 
     /// The whole list as JSON.
-    pub fn whole(&self) -> String {
+    pub fn snapshot(&self) -> String {
         let entries: Vec<String> = self.entries.borrow().iter().map(Entry::json).collect();
         format!(r#"{{"index":{},"snapshot":true,"endpoints":[{}]}}"#, self.index.get(), entries.join(","))
     }
@@ -99,7 +99,7 @@
 
 /// One address that the list is served at.
 pub struct Service {
-    book: Rc<Book>,
+    endpoint_store: Rc<EndpointStore>,
     host: Host,
     moved: Notify,
     closed: Cell<bool>,
@@ -107,8 +107,8 @@
 
 impl Service {
     /// Serves that list.
-    pub fn new(book: Rc<Book>, host: Host) -> Rc<Self> {
-        Rc::new(Service { book, host, moved: Notify::new(), closed: Cell::new(false) })
+    pub fn new(endpoint_store: Rc<EndpointStore>, host: Host) -> Rc<Self> {
+        Rc::new(Service { endpoint_store, host, moved: Notify::new(), closed: Cell::new(false) })
     }
 
     /// Takes no new connection from here on, and closes the open ones a little later.
@@ -166,21 +166,21 @@
             rest.split(['&', ' ']).next()?.parse().ok()
         };
         let now = self.host.now();
-        let turn = self.book.free_at.get().max(now);
+        let turn = self.endpoint_store.free_at.get().max(now);
         if turn > now + TURN {
             return None;
         }
-        let done = turn + CALL + self.book.late.get();
-        self.book.free_at.set(done);
+        let done = turn + CALL + self.endpoint_store.late.get();
+        self.endpoint_store.free_at.set(done);
         self.host.sleep_until(done).await;
-        if self.book.failing.get() {
+        if self.endpoint_store.failing.get() {
             return None;
         }
-        let Some(from) = number("from=") else { return Some(self.book.whole()) };
+        let Some(from) = number("from=") else { return Some(self.endpoint_store.snapshot()) };
         let hold = number("hold_ms=").unwrap_or(0).min(60_000) * 1_000;
         let newer = async {
-            while self.book.index.get() <= from {
-                self.book.changed.notified().await;
+            while self.endpoint_store.index.get() <= from {
+                self.endpoint_store.changed.notified().await;
             }
         };
         let until = self.host.now() + hold;
@@ -189,6 +189,6 @@
             () = newer => {}
             () = self.host.sleep_until(until) => {}
         }
-        if self.book.failing.get() { None } else { Some(self.book.since(from)) }
+        if self.endpoint_store.failing.get() { None } else { Some(self.endpoint_store.since(from)) }
     }
 }
--- a/crates/world/src/draw.rs
+++ b/crates/world/src/generate.rs
@@ -2,7 +2,9 @@
 //! Groce et al., ISSTA 2012), each with a strength and a frequency of its own.
 
 use crate::rng::{Rng, stream};
-use crate::script::{BAD, Contract, FORMAT, Fault, LinkSpec, NodeSpec, ProxySpec, Script, SubmitterSpec};
+use crate::script::{
+    ALL_MISBEHAVIORS, BackendSpec, ClientSpec, Contract, FORMAT, Fault, LinkSpec, ProxySpec, Script,
+};
 use rand::Rng as _;
 use rand::seq::IndexedRandom;
 use std::ops::Range;
@@ -13,7 +15,7 @@
 const KINDS: usize = 15;
 
 /// The script of that seed.
-pub fn draw(seed: u64) -> Script {
+pub fn generate_script(seed: u64) -> Script {
     let mut rng = stream(seed, "site");
     let length_ms = rng.random_range(LENGTH);
     let links = LinkSpec {
@@ -42,9 +44,9 @@
             seed: rng.random::<u64>() >> 1,
         })
         .collect();
-    let nodes: Vec<NodeSpec> = (0..rng.random_range(5..=10)).map(|i| node(i, &mut rng)).collect();
-    let submitters = submitters(seed, length_ms, proxies.len(), &mut rng);
-    let faults = faults(seed, length_ms, &proxies, &nodes);
+    let backends: Vec<BackendSpec> = (0..rng.random_range(5..=10)).map(|i| backend(i, &mut rng)).collect();
+    let clients = clients(seed, length_ms, proxies.len(), &mut rng);
+    let faults = faults(seed, length_ms, &proxies, &backends);
     Script {
         format: FORMAT,
         order: stream(seed, "order of the script").random::<u64>() >> 1,
@@ -52,15 +54,15 @@
         links,
         contract,
         proxies,
-        nodes,
-        submitters,
+        backends,
+        clients,
         faults,
     }
 }
 
-fn node(i: usize, rng: &mut Rng) -> NodeSpec {
+fn backend(i: usize, rng: &mut Rng) -> BackendSpec {
     let wide = rng.random_bool(0.5);
-    NodeSpec {
+    BackendSpec {
         name: format!("label-{i}"),
         zone: rng.random_range(0..3),
         cores: if wide { 4 } else { 2 },
@@ -81,7 +83,7 @@
     (value * 1e3).round() / 1e3
 }
 
-fn submitters(seed: u64, length_ms: u64, zones: usize, rng: &mut Rng) -> Vec<SubmitterSpec> {
+fn clients(seed: u64, length_ms: u64, zones: usize, rng: &mut Rng) -> Vec<ClientSpec> {
     let mut draw = stream(seed, "submitters");
     let count = rng.random_range(100..170);
     let groups = rng.random_range(8..60);
@@ -97,7 +99,7 @@
                 Some(at) if draw.random_bool(0.4) => at + draw.random_range(0..1_500),
                 _ => draw.random_range(0..length_ms * 3 / 4),
             };
-            SubmitterSpec {
+            ClientSpec {
                 at_ms,
                 zone: draw.random_range(0..zones.min(3)),
                 key: i,
@@ -105,7 +107,9 @@
                 life_ms: draw.random_range(2_000..30_000),
                 load: round(draw.random_range(0.3..1.7)),
                 retries,
-                bad: draw.random_bool(bad).then(|| *BAD.choose(&mut draw).unwrap_or(&BAD[0])),
+                bad: draw
+                    .random_bool(bad)
+                    .then(|| *ALL_MISBEHAVIORS.choose(&mut draw).unwrap_or(&ALL_MISBEHAVIORS[0])),
                 leaves_ms: draw.random_bool(early).then(|| draw.random_range(0..60)),
                 resets: draw.random_bool(0.2),
                 reads_ms: draw.random_bool(slow).then(|| draw.random_range(500..4_000)),
@@ -114,7 +118,7 @@
         .collect()
 }
 
-fn faults(seed: u64, length: u64, proxies: &[ProxySpec], nodes: &[NodeSpec]) -> Vec<Fault> {
+fn faults(seed: u64, length: u64, proxies: &[ProxySpec], backends: &[BackendSpec]) -> Vec<Fault> {
     let mut rng = stream(seed, "faults");
     let share = rng.random_range(0.05..0.5);
     let mut faults = Vec::new();
@@ -131,18 +135,37 @@
         for _ in 0..rng.random_range(1..=3) {
             let at_ms = rng.random_range(begin..length - 4_000);
             let until_ms = at_ms + rng.random_range(500..9_000);
-            let node = nodes.choose(&mut rng).map(|node| node.name.clone()).unwrap_or_default();
+            let backend = backends.choose(&mut rng).map(|backend| backend.name.clone()).unwrap_or_default();
             let proxy = rng.random_range(0..proxies.len());
             let fault = match kind {
-                0 => Fault::Crash { node, at_ms, until_ms: rng.random_bool(0.8).then_some(until_ms) },
+                0 => {
+                    Fault::Crash { node: backend, at_ms, until_ms: rng.random_bool(0.8).then_some(until_ms) }
+                }
                 1 => {
                     let stop_ms = at_ms + rng.random_range(1_500..8_000);
                     let back = stop_ms + rng.random_range(200..4_000);
-                    Fault::Drain { node, at_ms, stop_ms, until_ms: rng.random_bool(0.7).then_some(back) }
+                    Fault::Drain {
+                        node: backend,
+                        at_ms,
+                        stop_ms,
+                        until_ms: rng.random_bool(0.7).then_some(back),
+                    }
                 }
-                2 => Fault::Silence { node, at_ms, until_ms: until_ms + 4_000, reset: rng.random_bool(0.5) },
-                3 => Fault::Slow { node, at_ms, until_ms, factor: round(rng.random_range(2.0..10.0)) },
-                4 => Fault::Neighbour { node, at_ms, until_ms, share: round(rng.random_range(0.3..0.75)) },
+                2 => Fault::Silence {
+                    node: backend,
+                    at_ms,
+                    until_ms: until_ms + 4_000,
+                    reset: rng.random_bool(0.5),
+                },
+                3 => {
+                    Fault::Slow { node: backend, at_ms, until_ms, factor: round(rng.random_range(2.0..10.0)) }
+                }
+                4 => Fault::Neighbour {
+                    node: backend,
+                    at_ms,
+                    until_ms,
+                    share: round(rng.random_range(0.3..0.75)),
+                },
                 5 => Fault::LateReports { at_ms, until_ms, by_ms: rng.random_range(500..5_000) },
                 6 => Fault::DiscoveryLate { at_ms, until_ms, by_ms: rng.random_range(50..1_000) },
                 7 => Fault::DiscoveryFails { at_ms, until_ms },
@@ -154,11 +177,11 @@
                 13 => Fault::Kill { proxy, at_ms, until_ms: at_ms + rng.random_range(300..3_000) },
                 // A quarter of them together.
                 _ => {
-                    let together = nodes.choose_multiple(&mut rng, nodes.len() / 4 + 1);
-                    let lost: Vec<_> = together.map(|node| node.name.clone()).collect();
-                    for node in &lost[1..] {
-                        let node = node.clone();
-                        faults.push(Fault::Crash { node, at_ms, until_ms: Some(until_ms) });
+                    let together = backends.choose_multiple(&mut rng, backends.len() / 4 + 1);
+                    let lost: Vec<_> = together.map(|backend| backend.name.clone()).collect();
+                    for backend in &lost[1..] {
+                        let backend = backend.clone();
+                        faults.push(Fault::Crash { node: backend, at_ms, until_ms: Some(until_ms) });
                     }
                     Fault::Crash { node: lost[0].clone(), at_ms, until_ms: Some(until_ms) }
                 }
@@ -179,9 +202,9 @@
             _ => fault.span().1 + 200,
         };
         let process = |fault: &Fault| match fault {
-            Fault::Crash { node, .. } | Fault::Drain { node, .. } | Fault::Silence { node, .. } => {
-                Some(node.clone())
-            }
+            Fault::Crash { node: backend, .. }
+            | Fault::Drain { node: backend, .. }
+            | Fault::Silence { node: backend, .. } => Some(backend.clone()),
             Fault::Restart { proxy, .. } | Fault::Kill { proxy, .. } => Some(format!("proxy {proxy}")),
             Fault::DiscoveryDown { .. } | Fault::DiscoveryCut { .. } | Fault::Reload { .. } => {
                 Some("discovery".into())
--- a/crates/world/src/net.rs
+++ b/crates/world/src/net.rs
@@ -22,7 +22,7 @@
 
 /// How links are; drawn for a run.
 #[derive(Clone, Copy, Debug)]
-pub struct Links {
+pub struct LinkConditions {
     /// One way within a zone and between zones; microseconds.
     pub same: Micros,
     /// One way between zones; microseconds.
@@ -108,12 +108,12 @@
     pub files: RefCell<BTreeMap<String, Vec<u8>>>,
     variables: BTreeMap<String, String>,
     signals: RefCell<BTreeMap<Signal, UnboundedSender<()>>>,
-    bend: Option<Bend>,
+    injected_defect: Option<InjectedDefect>,
 }
 
 /// A breakage of a process's sockets and timers, planted to see that the rules' observer finds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bend {
+pub enum InjectedDefect {
     /// A reset from the other side is never noticed.
     ResetSwallowed,
     /// The end of the sending gets lost.
@@ -133,7 +133,7 @@
 
 /// The network and its processes.
 pub struct Net {
-    links: Links,
+    links: LinkConditions,
     rng: Rng,
     processes: Vec<Rc<Process>>,
     connections: Vec<Connection>,
@@ -145,7 +145,7 @@
 
 impl Net {
     /// A network of such links; its draws come from that stream.
-    pub fn new(links: Links, rng: Rng) -> Self {
+    pub fn new(links: LinkConditions, rng: Rng) -> Self {
         Net {
             links,
             rng,
@@ -193,7 +193,7 @@
 }
 
 /// What a process starts with.
-pub struct Start {
+pub struct ProcessOptions {
     /// Its name.
     pub name: String,
     /// The zone its machine stands in.
@@ -207,46 +207,46 @@
     /// Its variables.
     pub variables: BTreeMap<String, String>,
     /// A planted breakage.
-    pub bend: Option<Bend>,
+    pub injected_defect: Option<InjectedDefect>,
 }
 
-impl Start {
+impl ProcessOptions {
     /// A process with nothing special about it.
     pub fn plain(name: &str, zone: usize, address: IpAddr) -> Self {
-        Start {
+        ProcessOptions {
             name: name.into(),
             zone,
             descriptors: usize::MAX,
             addresses: vec![address],
             files: BTreeMap::new(),
             variables: BTreeMap::new(),
-            bend: None,
+            injected_defect: None,
         }
     }
 }
 
 impl Sim {
     /// Starts a process; its number and its host.
-    pub fn start(self: &Rc<Self>, start: Start) -> (ProcessId, Host) {
+    pub fn start(self: &Rc<Self>, options: ProcessOptions) -> (ProcessId, Host) {
         let mut net = self.net.borrow_mut();
         let id = net.processes.len();
-        for address in &start.addresses {
+        for address in &options.addresses {
             net.machines.insert(*address, id);
         }
         net.processes.push(Rc::new(Process {
-            name: start.name,
-            zone: start.zone,
+            name: options.name,
+            zone: options.zone,
             alive: Cell::new(true),
             silent: Cell::new(false),
-            most_descriptors: start.descriptors,
+            most_descriptors: options.descriptors,
             descriptors: Cell::new(0),
-            files: RefCell::new(start.files),
-            variables: start.variables,
+            files: RefCell::new(options.files),
+            variables: options.variables,
             signals: RefCell::default(),
-            bend: start.bend,
+            injected_defect: options.injected_defect,
         }));
         let process = net.processes[id].clone();
-        self.observer.borrow_mut().enroll(id, Role::Other, &process.name);
+        self.observer.borrow_mut().register_process(id, Role::Other, &process.name);
         (id, Host::of(SimMachine { sim: self.clone(), id, process }))
     }
 
@@ -282,7 +282,7 @@
     }
 
     /// Cuts a machine off: nothing arrives there or from there, and nothing is said of it.
-    pub fn silence(&self, id: ProcessId) {
+    pub fn partition(&self, id: ProcessId) {
         self.net.borrow().processes[id].silent.set(true);
     }
 
@@ -460,8 +460,8 @@
 
 impl SimStream {
     /// Whether that is planted in its process.
-    fn bent(&self, bend: Bend) -> bool {
-        self.descriptor.0.bend == Some(bend)
+    fn has_defect(&self, injected_defect: InjectedDefect) -> bool {
+        self.descriptor.0.injected_defect == Some(injected_defect)
     }
 
     fn with<T>(&self, what: impl FnOnce(&mut Net, usize, usize) -> T) -> T {
@@ -472,9 +472,9 @@
 impl StreamIo for SimStream {
     fn poll_readable(&self, context: &mut Context<'_>) -> Poll<()> {
         self.with(|net, connection, end| {
-            let lost = self.bent(Bend::WakeLost) && net.rng.random_bool(0.02);
+            let lost = self.has_defect(InjectedDefect::WakeLost) && net.rng.random_bool(0.02);
             let here = &mut net.connections[connection].ends[end];
-            let broken = here.broken && !self.bent(Bend::ResetSwallowed);
+            let broken = here.broken && !self.has_defect(InjectedDefect::ResetSwallowed);
             if !here.inbox.is_empty() || here.ended || broken {
                 return Poll::Ready(());
             }
@@ -505,7 +505,7 @@
             let here = &net.connections[connection].ends[end];
             if here.inbox.is_empty() {
                 return match here {
-                    End { broken: true, .. } if !self.bent(Bend::ResetSwallowed) => {
+                    End { broken: true, .. } if !self.has_defect(InjectedDefect::ResetSwallowed) => {
                         Err(io::ErrorKind::ConnectionReset.into())
                     }
                     End { ended: true, .. } => Ok(0),
@@ -538,8 +538,9 @@
             Ok(net.part(room.min(bytes.len())))
         })?;
         self.sim.send(self.connection, self.end, Segment::Bytes(bytes[..part].to_vec()));
-        let less =
-            part > 1 && self.bent(Bend::ByteDoubled) && self.with(|net, _, _| net.rng.random_bool(0.01));
+        let less = part > 1
+            && self.has_defect(InjectedDefect::ByteDoubled)
+            && self.with(|net, _, _| net.rng.random_bool(0.01));
         Ok(part - usize::from(less))
     }
 
@@ -551,7 +552,7 @@
             }
             Ok(!std::mem::replace(&mut here.finished, true))
         })?;
-        if new && !self.bent(Bend::EndSwallowed) {
+        if new && !self.has_defect(InjectedDefect::EndSwallowed) {
             self.sim.send(self.connection, self.end, Segment::Fin);
         }
         Ok(())
@@ -564,7 +565,7 @@
 
 impl Drop for SimStream {
     fn drop(&mut self) {
-        if self.bent(Bend::CloseLost) {
+        if self.has_defect(InjectedDefect::CloseLost) {
             return;
         }
         self.sim.close(self.connection, self.end, false);
@@ -710,7 +711,8 @@
     }
 
     fn sleep_until(&self, at: Micros) -> Local<'static, ()> {
-        let late = if self.process.bend == Some(Bend::TimerLate) { 1_500_000 } else { 0 };
+        let late =
+            if self.process.injected_defect == Some(InjectedDefect::TimerLate) { 1_500_000 } else { 0 };
         Box::pin(self.sim.sleep(at + late))
     }
 
@@ -729,7 +731,7 @@
         let there = {
             let mut net = self.sim.net.borrow_mut();
             let machine = net.machines.get(&to.ip()).copied().unwrap_or(self.id);
-            self.sim.observer.borrow_mut().dialled(self.id, machine);
+            self.sim.observer.borrow_mut().connecting(self.id, machine);
             self.sim.now() + net.delay(self.id, machine)
         };
         let stage = Stage::Going(self.sim.sleep(there));
--- a/crates/world/src/observer.rs
+++ b/crates/world/src/observer.rs
@@ -53,9 +53,9 @@
     /// A proxy, by its place in the script.
     Proxy(usize),
     /// An execute node, by its place.
-    Node(usize),
+    Backend(usize),
     /// A submitter, by its place; one that is bad, or that reads slowly.
-    Submitter {
+    Client {
         /// Its place.
         index: usize,
         /// It keeps no protocol and is owed an error or a close.
@@ -113,7 +113,7 @@
 
 /// A broken rule.
 #[derive(Clone, Debug, serde::Serialize)]
-pub struct Breach {
+pub struct Violation {
     /// The rule.
     pub rule: Rule,
     /// When, since the start of the run; microseconds.
@@ -121,7 +121,8 @@
     /// Who, and how.
     pub what: String,
     /// The last crossings that concern the parties.
-    pub led_to: Vec<String>,
+    #[serde(rename = "led_to")]
+    pub preceding_events: Vec<String>,
 }
 
 /// What a run held.
@@ -130,7 +131,8 @@
     /// Connections opened.
     pub connections: u64,
     /// Jobs whose opening reached a proxy.
-    pub jobs: u64,
+    #[serde(rename = "jobs")]
+    pub requests: u64,
     /// Of them, served, refused and failed.
     pub served: u64,
     /// Refused.
@@ -138,11 +140,13 @@
     /// Failed.
     pub failed: u64,
     /// Claims sent to execute nodes.
-    pub claims: u64,
+    #[serde(rename = "claims")]
+    pub attempts: u64,
     /// Moves.
     pub moves: u64,
     /// Crossings: bytes, ends and resets, sent or arrived.
-    pub crossings: u64,
+    #[serde(rename = "crossings")]
+    pub network_events: u64,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -152,7 +156,7 @@
     Arrived,
 }
 
-struct Crossing {
+struct NetworkEvent {
     at: Micros,
     connection: usize,
     /// Whose doing: 0 for the side that connected.
@@ -213,7 +217,7 @@
     line: Vec<u8>,
     sent_at: Micros,
     /// The job's id, when its last byte came and until when it waits.
-    job: Option<(String, Micros, Micros)>,
+    request: Option<(String, Micros, Micros)>,
     first_line: Vec<u8>,
     /// What the proxy has written of the line it is writing.
     answer: Vec<u8>,
@@ -225,7 +229,7 @@
     left: Option<Micros>,
     /// The proxy ended it.
     ended: Option<Micros>,
-    claim: Option<usize>,
+    attempt: Option<usize>,
     up_passing: Passing,
     down_passing: Passing,
     /// When each line went up that has no line back yet.
@@ -234,9 +238,9 @@
 
 /// A connection between a proxy and an execute node.
 #[derive(Default)]
-struct Claim {
+struct Attempt {
     proxy: usize,
-    node: usize,
+    backend: usize,
     first: Vec<u8>,
     first_whole: bool,
     id: Option<String>,
@@ -263,7 +267,7 @@
 
 enum Kind {
     Submission(Submission),
-    Claim(Claim),
+    Attempt(Attempt),
     Call(Call),
     Other,
 }
@@ -290,13 +294,13 @@
     asked_at: Micros,
     calls: VecDeque<Micros>,
     changes: VecDeque<Micros>,
-    claims: BTreeMap<String, usize>,
-    jobs: BTreeMap<String, usize>,
+    attempts: BTreeMap<String, usize>,
+    requests: BTreeMap<String, usize>,
 }
 
 /// What the world knows of an execute node.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct NodeTruth {
+pub struct BackendState {
     /// It runs and is not cut off.
     pub answers: bool,
     /// When it started, if it started cold.
@@ -307,7 +311,7 @@
 
 /// The figures of the fourth rule.
 #[derive(Clone, Copy, Debug)]
-pub struct ColdRule {
+pub struct SlowStartRule {
     /// Share of its capacity at the start.
     pub from: f64,
     /// Warm after this; microseconds.
@@ -319,55 +323,55 @@
 }
 
 #[derive(Default)]
-struct Node {
-    truth: NodeTruth,
+struct Backend {
+    truth: BackendState,
     /// Openings that reached it: when, and whether the proxy had been told of its start.
     reached: VecDeque<(Micros, bool)>,
 }
 
 /// Watches a run.
 pub struct Observer {
-    cold: ColdRule,
+    cold: SlowStartRule,
     roles: Vec<(Role, String)>,
     lines: Vec<Line>,
     live: Vec<usize>,
     proxies: Vec<Proxy>,
-    nodes: Vec<Node>,
+    backends: Vec<Backend>,
     names: BTreeMap<String, usize>,
-    kept: VecDeque<Crossing>,
+    kept: VecDeque<NetworkEvent>,
     digest: Xxh3,
     next_sweep: Micros,
     now: Micros,
     trace: Trace,
     /// Every crossing in words, where it was asked for.
-    pub told: Vec<String>,
+    pub trace_lines: Vec<String>,
     /// Broken rules, in order; at most a few of each run are kept.
-    pub breaches: Vec<Breach>,
+    pub violations: Vec<Violation>,
     /// What the run held.
     pub counts: Counts,
 }
 
 /// Most breaches that a run keeps.
-const BREACHES: usize = 20;
+const MAX_VIOLATIONS: usize = 20;
 
 impl Observer {
     /// An observer of that many proxies and of execute nodes of those names.
-    pub fn new(proxies: usize, nodes: &[String], cold: ColdRule, trace: Trace) -> Self {
+    pub fn new(proxies: usize, backends: &[String], cold: SlowStartRule, trace: Trace) -> Self {
         Observer {
             cold,
             roles: Vec::new(),
             lines: Vec::new(),
             live: Vec::new(),
             proxies: (0..proxies).map(|_| Proxy::default()).collect(),
-            nodes: nodes.iter().map(|_| Node::default()).collect(),
-            names: nodes.iter().cloned().enumerate().map(|(i, name)| (name, i)).collect(),
+            backends: backends.iter().map(|_| Backend::default()).collect(),
+            names: backends.iter().cloned().enumerate().map(|(i, name)| (name, i)).collect(),
             kept: VecDeque::new(),
             digest: Xxh3::new(),
             next_sweep: EPOCH + SWEEP,
             now: EPOCH,
             trace,
-            told: Vec::new(),
-            breaches: Vec::new(),
+            trace_lines: Vec::new(),
+            violations: Vec::new(),
             counts: Counts::default(),
         }
     }
@@ -378,7 +382,7 @@
     }
 
     /// Says what the process of that number is.
-    pub fn enroll(&mut self, process: ProcessId, role: Role, name: &str) {
+    pub fn register_process(&mut self, process: ProcessId, role: Role, name: &str) {
         self.roles.resize(self.roles.len().max(process + 1), (Role::Other, String::new()));
         self.roles[process] = (role, name.to_string());
         if let Role::Proxy(i) = role {
@@ -387,34 +391,34 @@
     }
 
     /// What is true of an execute node from now on.
-    pub fn node(&mut self, index: usize, truth: NodeTruth) {
-        if truth.cold_since != self.nodes[index].truth.cold_since {
-            self.nodes[index].reached.clear();
+    pub fn backend(&mut self, index: usize, truth: BackendState) {
+        if truth.cold_since != self.backends[index].truth.cold_since {
+            self.backends[index].reached.clear();
         }
-        self.nodes[index].truth = truth;
+        self.backends[index].truth = truth;
     }
 
     /// SIGTERM goes to that proxy.
-    pub fn told_to_stop(&mut self, proxy: usize) {
+    pub fn stop_requested(&mut self, proxy: usize) {
         self.proxies[proxy].stopping = Some(self.now);
     }
 
     /// SIGHUP goes to that proxy, and its discovery moves: the old watch ends there.
-    pub fn told_to_reload(&mut self, proxy: usize) {
+    pub fn reload_requested(&mut self, proxy: usize) {
         self.proxies[proxy].answered_at = None;
     }
 
     /// That proxy ended by itself; it holds nothing that it should have moved or answered.
     pub fn exited(&mut self, proxy: usize) {
         if self.proxies[proxy].stopping.is_none() {
-            self.breach(Rule::Exit, None, format!("proxy {proxy} ended without being told to"));
+            self.record_violation(Rule::Exit, None, format!("proxy {proxy} ended without being told to"));
         }
         self.abandoned(proxy, "ended by itself");
     }
 
     /// That proxy is killed after a planned stop that it did not finish.
-    pub fn overdue(&mut self, proxy: usize) {
-        self.breach(Rule::Exit, None, format!("proxy {proxy} still runs when the kill comes"));
+    pub fn exit_overdue(&mut self, proxy: usize) {
+        self.record_violation(Rule::Exit, None, format!("proxy {proxy} still runs when the kill comes"));
         self.abandoned(proxy, "was killed after its stop");
     }
 
@@ -426,17 +430,18 @@
             if s.proxy != proxy || s.bad || s.slow || s.left.is_some() || s.ended.is_some() {
                 continue;
             }
-            let claim = s.claim.and_then(|claim| self.claim(claim));
-            let over =
-                claim.is_some_and(|claim| claim.gone.is_some() || !self.nodes[claim.node].truth.answers);
+            let attempt = s.attempt.and_then(|attempt| self.attempt(attempt));
+            let over = attempt.is_some_and(|attempt| {
+                attempt.gone.is_some() || !self.backends[attempt.backend].truth.answers
+            });
             if s.up && !s.moved && !over {
-                self.breach(
+                self.record_violation(
                     Rule::Cut,
                     Some(connection),
                     format!("proxy {proxy} {how} and held a connection"),
                 );
-            } else if s.job.is_some() && s.answers == 0 {
-                self.breach(
+            } else if s.request.is_some() && s.answers == 0 {
+                self.record_violation(
                     Rule::Unanswered,
                     Some(connection),
                     format!("proxy {proxy} {how} and owed an answer"),
@@ -458,48 +463,48 @@
     }
 
     /// Something else that the world saw.
-    pub fn saw(&mut self, rule: Rule, what: String) {
-        self.breach(rule, None, what);
+    pub fn report_violation(&mut self, rule: Rule, what: String) {
+        self.record_violation(rule, None, what);
     }
 
-    fn breach(&mut self, rule: Rule, connection: Option<usize>, what: String) {
-        if self.breaches.len() >= BREACHES {
+    fn record_violation(&mut self, rule: Rule, connection: Option<usize>, what: String) {
+        if self.violations.len() >= MAX_VIOLATIONS {
             return;
         }
         let parties = connection.map(|c| {
             let partner = match &self.lines[c].kind {
-                Kind::Submission(s) => s.claim,
-                Kind::Claim(claim) => claim.submission,
+                Kind::Submission(s) => s.attempt,
+                Kind::Attempt(attempt) => attempt.submission,
                 _ => None,
             };
             (c, partner)
         });
-        let concerns = |crossing: &&Crossing| {
-            parties.is_none_or(|(c, p)| crossing.connection == c || Some(crossing.connection) == p)
+        let concerns = |event: &&NetworkEvent| {
+            parties.is_none_or(|(c, p)| event.connection == c || Some(event.connection) == p)
         };
-        let mut led_to: Vec<String> =
-            self.kept.iter().rev().filter(concerns).take(SHOWN).map(|crossing| self.show(crossing)).collect();
-        led_to.reverse();
+        let mut preceding_events: Vec<String> =
+            self.kept.iter().rev().filter(concerns).take(SHOWN).map(|event| self.show(event)).collect();
+        preceding_events.reverse();
         let who = connection.map_or(String::new(), |c| {
             let line = &self.lines[c];
             format!(" [{} - {}]", self.roles[line.from].1, self.roles[line.to].1)
         });
-        self.breaches.push(Breach { rule, at: self.now - EPOCH, what: what + &who, led_to });
+        self.violations.push(Violation { rule, at: self.now - EPOCH, what: what + &who, preceding_events });
     }
 
-    fn show(&self, crossing: &Crossing) -> String {
-        let line = &self.lines[crossing.connection];
+    fn show(&self, event: &NetworkEvent) -> String {
+        let line = &self.lines[event.connection];
         let names = [&self.roles[line.from].1, &self.roles[line.to].1];
-        let (by, other) = match crossing.phase {
-            Phase::Arrived => (names[1 - crossing.end], names[crossing.end]),
-            _ => (names[crossing.end], names[1 - crossing.end]),
+        let (by, other) = match event.phase {
+            Phase::Arrived => (names[1 - event.end], names[event.end]),
+            _ => (names[event.end], names[1 - event.end]),
         };
-        let phase = match crossing.phase {
+        let phase = match event.phase {
             Phase::Opened => "opens to",
             Phase::Sent => "sends to",
             Phase::Arrived => "reaches",
         };
-        let what = match crossing.what {
+        let what = match event.what {
             Shape::Bytes(length, head) => {
                 format!("{length} bytes {:?}", String::from_utf8_lossy(&head[..length.min(HEAD)]))
             }
@@ -507,12 +512,12 @@
             Shape::Reset => "a reset".into(),
             Shape::None => String::new(),
         };
-        let at = (crossing.at - EPOCH) as f64 / 1e6;
-        format!("{at:.6} #{} {by} {phase} {other} {what}", crossing.connection)
+        let at = (event.at - EPOCH) as f64 / 1e6;
+        format!("{at:.6} #{} {by} {phase} {other} {what}", event.connection)
     }
 
     fn keep(&mut self, connection: usize, end: usize, phase: Phase, segment: Option<&Segment>) {
-        self.counts.crossings += 1;
+        self.counts.network_events += 1;
         let what = match segment {
             Some(Segment::Bytes(bytes)) => {
                 let mut head = [0; HEAD];
@@ -533,23 +538,23 @@
         };
         let mark = [self.now, connection as u64, end as u64 * 3 + phase as u64, code];
         mark.into_iter().for_each(|part| self.digest.update(&part.to_le_bytes()));
-        let crossing = Crossing { at: self.now, connection, end, phase, what };
+        let event = NetworkEvent { at: self.now, connection, end, phase, what };
         match self.trace {
             Trace::None => {}
-            Trace::Print => println!("{}", self.show(&crossing)),
+            Trace::Print => println!("{}", self.show(&event)),
             Trace::Keep => {
-                let words = self.show(&crossing);
-                self.told.push(words);
+                let words = self.show(&event);
+                self.trace_lines.push(words);
             }
         }
         if self.kept.len() == KEPT {
             self.kept.pop_front();
         }
-        self.kept.push_back(crossing);
+        self.kept.push_back(event);
     }
 
     /// The clock goes on to that time.
-    pub fn until(&mut self, to: Micros) {
+    pub fn advance_to(&mut self, to: Micros) {
         while self.next_sweep <= to {
             self.now = self.next_sweep;
             self.next_sweep += SWEEP;
@@ -559,7 +564,7 @@
     }
 
     /// A process dials a machine, whether it is answered or not.
-    pub fn dialled(&mut self, from: ProcessId, machine: ProcessId) {
+    pub fn connecting(&mut self, from: ProcessId, machine: ProcessId) {
         if let (Role::Proxy(proxy), Role::Discovery) = (self.roles[from].0, self.roles[machine].0) {
             self.proxies[proxy].asked_at = self.now;
         }
@@ -570,14 +575,16 @@
         self.now = now;
         self.counts.connections += 1;
         let kind = match (self.roles[from].0, self.roles[to].0) {
-            (Role::Submitter { bad, slow, .. }, Role::Proxy(proxy)) => {
+            (Role::Client { bad, slow, .. }, Role::Proxy(proxy)) => {
                 Kind::Submission(Submission { proxy, bad, slow, opened_at: now, ..Submission::default() })
             }
-            (Role::Proxy(proxy), Role::Node(node)) => Kind::Claim(Claim { proxy, node, ..Claim::default() }),
+            (Role::Proxy(proxy), Role::Backend(backend)) => {
+                Kind::Attempt(Attempt { proxy, backend, ..Attempt::default() })
+            }
             (Role::Proxy(proxy), Role::Discovery) => Kind::Call(Call { proxy, ..Call::default() }),
             _ => Kind::Other,
         };
-        if matches!(kind, Kind::Submission(_) | Kind::Claim(_)) {
+        if matches!(kind, Kind::Submission(_) | Kind::Attempt(_)) {
             self.live.push(connection);
         }
         self.lines.push(Line { from, to, kind });
@@ -591,7 +598,7 @@
         match (&mut self.lines[connection].kind, end) {
             (Kind::Submission(s), 0) => s.sent_at = now,
             (Kind::Submission(_), _) => self.proxy_answers(connection, segment),
-            (Kind::Claim(_), 0) => self.proxy_claims(connection, segment),
+            (Kind::Attempt(_), 0) => self.proxy_attempts(connection, segment),
             (Kind::Call(_), 0) => self.proxy_calls(connection, segment),
             _ => {}
         }
@@ -601,7 +608,7 @@
     pub fn closed(&mut self, now: Micros, connection: usize, end: usize) {
         match (&mut self.lines[connection].kind, end) {
             (Kind::Submission(s), 1) => drop(s.ended.get_or_insert(now)),
-            (Kind::Claim(claim), 0) => claim.ended = true,
+            (Kind::Attempt(attempt), 0) => attempt.ended = true,
             _ => {}
         }
     }
@@ -611,9 +618,9 @@
         self.now = now;
         self.keep(connection, end, Phase::Arrived, Some(segment));
         match (&self.lines[connection].kind, end) {
-            (Kind::Submission(_), 1) => self.submitter_says(connection, segment),
-            (Kind::Claim(_), 0) => self.node_says(connection, segment),
-            (Kind::Claim(_), 1) => self.node_hears(connection, segment),
+            (Kind::Submission(_), 1) => self.client_says(connection, segment),
+            (Kind::Attempt(_), 0) => self.backend_says(connection, segment),
+            (Kind::Attempt(_), 1) => self.backend_hears(connection, segment),
             (Kind::Call(_), 0) => self.discovery_says(connection, segment),
             _ => {}
         }
@@ -626,29 +633,29 @@
         }
     }
 
-    fn claim(&self, connection: usize) -> Option<&Claim> {
+    fn attempt(&self, connection: usize) -> Option<&Attempt> {
         match self.lines.get(connection).map(|line| &line.kind) {
-            Some(Kind::Claim(claim)) => Some(claim),
+            Some(Kind::Attempt(attempt)) => Some(attempt),
             _ => None,
         }
     }
 
-    fn claim_mut(&mut self, connection: usize) -> Option<&mut Claim> {
+    fn attempt_mut(&mut self, connection: usize) -> Option<&mut Attempt> {
         match self.lines.get_mut(connection).map(|line| &mut line.kind) {
-            Some(Kind::Claim(claim)) => Some(claim),
+            Some(Kind::Attempt(attempt)) => Some(attempt),
             _ => None,
         }
     }
 
-    fn submitter_says(&mut self, connection: usize, segment: &Segment) {
+    fn client_says(&mut self, connection: usize, segment: &Segment) {
         let now = self.now;
         let Some(s) = self.submission(connection) else { return };
         let Segment::Bytes(bytes) = segment else {
             s.left.get_or_insert(now);
             return;
         };
-        if s.job.is_some() {
-            if s.up || s.claim.is_some() {
+        if s.request.is_some() {
+            if s.up || s.attempt.is_some() {
                 s.up_passing.came(now, bytes);
             }
             return;
@@ -668,11 +675,11 @@
             let fields = words.nth(1).unwrap_or_default();
             let wait = fields.split(',').find_map(|field| field.strip_prefix("d=")?.parse::<u64>().ok());
             let due = s.sent_at + wait.unwrap_or(0) * 1_000;
-            s.job = Some((id.clone(), now, due));
+            s.request = Some((id.clone(), now, due));
             s.first_line = line;
             let proxy = s.proxy;
-            self.proxies[proxy].jobs.insert(id, connection);
-            self.counts.jobs += 1;
+            self.proxies[proxy].requests.insert(id, connection);
+            self.counts.requests += 1;
             break;
         }
     }
@@ -688,10 +695,10 @@
             }
             return;
         };
-        if s.bad || s.job.is_none() {
+        if s.bad || s.request.is_none() {
             // PONG, or an error for one without a job.
             if s.bad && bytes.starts_with(b"UP ") {
-                self.breach(Rule::MadeUp, Some(connection), "a bad submitter is served".into());
+                self.record_violation(Rule::MadeUp, Some(connection), "a bad submitter is served".into());
             } else if let Some(s) = self.submission(connection) {
                 s.answers += 1;
             }
@@ -709,16 +716,25 @@
             }
             let line = std::mem::take(&mut s.answer);
             s.answers += 1;
-            let (answers, due, id) = (s.answers, s.job.as_ref().map_or(0, |job| job.2), s.job.clone());
+            let (answers, due, id) =
+                (s.answers, s.request.as_ref().map_or(0, |request| request.2), s.request.clone());
             let up = line.starts_with(b"UP ");
             s.up = up;
             let left = s.left.is_some();
             if answers > 1 {
                 let said = String::from_utf8_lossy(&line).trim_end().to_string();
-                self.breach(Rule::AnsweredTwice, Some(connection), format!("{said:?} after a final answer"));
+                self.record_violation(
+                    Rule::AnsweredTwice,
+                    Some(connection),
+                    format!("{said:?} after a final answer"),
+                );
             }
             if now > due + GRACE && !left {
-                self.breach(Rule::Unanswered, Some(connection), format!("answered {} us late", now - due));
+                self.record_violation(
+                    Rule::Unanswered,
+                    Some(connection),
+                    format!("answered {} us late", now - due),
+                );
             }
             match line.split(|&b| b == b' ' || b == b'\r').next() {
                 Some(b"UP") => self.counts.served += 1,
@@ -726,17 +742,22 @@
                 _ => self.counts.failed += 1,
             }
             if up {
-                let claim = id.and_then(|job| self.proxies[proxy].claims.get(&job.0).copied());
-                let came = claim.and_then(|claim| self.claim(claim)).map(|claim| claim.came.clone());
+                let attempt = id.and_then(|request| self.proxies[proxy].attempts.get(&request.0).copied());
+                let came =
+                    attempt.and_then(|attempt| self.attempt(attempt)).map(|attempt| attempt.came.clone());
                 if !came.as_ref().is_some_and(|came| came.starts_with(&line)) {
-                    self.breach(Rule::MadeUp, Some(connection), "an UP that no execute node sent".into());
+                    self.record_violation(
+                        Rule::MadeUp,
+                        Some(connection),
+                        "an UP that no execute node sent".into(),
+                    );
                 }
                 let rest = came.map_or(Vec::new(), |came| came[line.len().min(came.len())..].to_vec());
-                if let Some(claim) = claim.and_then(|claim| self.claim_mut(claim)) {
-                    claim.submission = Some(connection);
+                if let Some(attempt) = attempt.and_then(|attempt| self.attempt_mut(attempt)) {
+                    attempt.submission = Some(connection);
                 }
                 if let Some(s) = self.submission(connection) {
-                    s.claim = claim;
+                    s.attempt = attempt;
                     s.down_passing.between = true;
                     if !rest.is_empty() {
                         s.down_passing.came(now, &rest);
@@ -757,7 +778,7 @@
                 s.waiting.pop_front();
                 let slow = s.slow;
                 if !slow && since.is_some_and(|at| now > at + HELD + GRACE) {
-                    self.breach(Rule::HeldBack, Some(connection), "a line went down late".into());
+                    self.record_violation(Rule::HeldBack, Some(connection), "a line went down late".into());
                 }
             }
             return;
@@ -773,116 +794,136 @@
         let within = s.moving > 0 || !s.down_passing.between;
         let what = if byte == b'M' && within { "a MOVE within a line" } else { "bytes that did not come" };
         s.moving = MOVE.len() + 1;
-        self.breach(Rule::Changed, Some(connection), format!("{what} go down"));
+        self.record_violation(Rule::Changed, Some(connection), format!("{what} go down"));
     }
 
     /// The proxy ends a submitter's connection.
     fn proxy_ends(&mut self, connection: usize, reset: bool) {
         let Some(s) = self.submission(connection) else { return };
-        let (up, job, answers, moved, left) = (s.up, s.job.is_some(), s.answers, s.moved, s.left.is_some());
+        let (up, request, answers, moved, left) =
+            (s.up, s.request.is_some(), s.answers, s.moved, s.left.is_some());
         let (proxy, bad, part) = (s.proxy, s.bad, s.answer.len());
         if bad || left || !self.proxies[proxy].running {
             return;
         }
-        if job && answers == 0 {
+        if request && answers == 0 {
             let how = if reset { "reset" } else { "ended" };
-            self.breach(
+            self.record_violation(
                 Rule::Unanswered,
                 Some(connection),
                 format!("{how} without a final answer, {part} bytes into it"),
             );
         } else if up && !moved {
-            let claim = self.submission(connection).and_then(|s| s.claim);
-            let claim = claim.and_then(|claim| self.claim(claim));
-            let over = claim.is_none_or(|claim| {
-                claim.gone.is_some() || claim.said_end || !self.nodes[claim.node].truth.answers
+            let attempt = self.submission(connection).and_then(|s| s.attempt);
+            let attempt = attempt.and_then(|attempt| self.attempt(attempt));
+            let over = attempt.is_none_or(|attempt| {
+                attempt.gone.is_some() || attempt.said_end || !self.backends[attempt.backend].truth.answers
             });
             if !over {
-                self.breach(Rule::Cut, Some(connection), "cut off without MOVE".into());
+                self.record_violation(Rule::Cut, Some(connection), "cut off without MOVE".into());
             }
         }
     }
 
     /// What a proxy sends to an execute node.
-    fn proxy_claims(&mut self, connection: usize, segment: &Segment) {
+    fn proxy_attempts(&mut self, connection: usize, segment: &Segment) {
         let now = self.now;
-        let Some(claim) = self.claim_mut(connection) else { return };
-        let (proxy, node) = (claim.proxy, claim.node);
+        let Some(attempt) = self.attempt_mut(connection) else { return };
+        let (proxy, backend) = (attempt.proxy, attempt.backend);
         let Segment::Bytes(bytes) = segment else {
-            claim.ended = true;
-            let id = claim.id.clone();
+            attempt.ended = true;
+            let id = attempt.id.clone();
             if let Some(id) = id
-                && self.proxies[proxy].claims.get(&id) == Some(&connection)
+                && self.proxies[proxy].attempts.get(&id) == Some(&connection)
             {
-                let submission = self.claim(connection).and_then(|claim| claim.submission);
+                let submission = self.attempt(connection).and_then(|attempt| attempt.submission);
                 if submission.is_none() {
-                    self.proxies[proxy].claims.remove(&id);
+                    self.proxies[proxy].attempts.remove(&id);
                 }
             }
             return;
         };
-        if claim.first_whole {
+        if attempt.first_whole {
             self.passes_up(connection, bytes);
             return;
         }
-        let begins = claim.first.is_empty();
-        claim.first.extend_from_slice(bytes);
-        let Some(at) = claim.first.iter().position(|&byte| byte == b'\n') else {
+        let begins = attempt.first.is_empty();
+        attempt.first.extend_from_slice(bytes);
+        let Some(at) = attempt.first.iter().position(|&byte| byte == b'\n') else {
             if begins {
-                self.claim_begins(proxy, node, connection, now);
+                self.attempt_begins(proxy, backend, connection, now);
             }
             return;
         };
-        claim.first_whole = true;
-        let rest = claim.first.split_off(at + 1);
-        let first = claim.first.clone();
+        attempt.first_whole = true;
+        let rest = attempt.first.split_off(at + 1);
+        let first = attempt.first.clone();
         if begins {
-            self.claim_begins(proxy, node, connection, now);
+            self.attempt_begins(proxy, backend, connection, now);
         }
         let Some(text) = std::str::from_utf8(&first).ok().filter(|text| text.starts_with("OPEN ")) else {
             return;
         };
         let id = text.split(' ').nth(1).unwrap_or_default().to_string();
-        self.counts.claims += 1;
-        let before = self.proxies[proxy].claims.insert(id.clone(), connection);
-        let out = before.and_then(|before| self.claim(before)).is_some_and(|b| !b.ended && b.gone.is_none());
+        self.counts.attempts += 1;
+        let before = self.proxies[proxy].attempts.insert(id.clone(), connection);
+        let out =
+            before.and_then(|before| self.attempt(before)).is_some_and(|b| !b.ended && b.gone.is_none());
         if out {
-            self.breach(Rule::TwoClaims, Some(connection), format!("a second claim of job {id} is out"));
+            self.record_violation(
+                Rule::TwoClaims,
+                Some(connection),
+                format!("a second claim of job {id} is out"),
+            );
         }
-        let job = self.proxies[proxy].jobs.get(&id).copied();
-        let asked = job.and_then(|job| self.submission(job)).map(|s| s.first_line.clone());
+        let request = self.proxies[proxy].requests.get(&id).copied();
+        let asked = request.and_then(|request| self.submission(request)).map(|s| s.first_line.clone());
         if asked.is_none_or(|asked| without_wait(&asked) != without_wait(&first)) {
-            self.breach(Rule::MadeUp, Some(connection), "a first line that no submitter sent".into());
+            self.record_violation(
+                Rule::MadeUp,
+                Some(connection),
+                "a first line that no submitter sent".into(),
+            );
         }
-        if let Some(claim) = self.claim_mut(connection) {
-            claim.id = Some(id);
+        if let Some(attempt) = self.attempt_mut(connection) {
+            attempt.id = Some(id);
         }
-        if let Some(s) = job.and_then(|job| self.submission(job)) {
-            s.claim = Some(connection);
+        if let Some(s) = request.and_then(|request| self.submission(request)) {
+            s.attempt = Some(connection);
         }
         if !rest.is_empty() {
             self.passes_up(connection, &rest);
         }
     }
 
-    fn claim_begins(&mut self, proxy: usize, node: usize, connection: usize, now: Micros) {
-        let opening = self.claim(connection).is_some_and(|claim| claim.first.starts_with(b"O"));
-        let told = self.proxies[proxy].told.get(&node).copied();
+    fn attempt_begins(&mut self, proxy: usize, backend: usize, connection: usize, now: Micros) {
+        let opening = self.attempt(connection).is_some_and(|attempt| attempt.first.starts_with(b"O"));
+        let told = self.proxies[proxy].told.get(&backend).copied();
         if let Some(told) = told.filter(|told| opening && now > told + DRAIN + GRACE) {
             let late = now - told;
-            self.breach(Rule::DrainWindow, Some(connection), format!("a claim {late} us after it was told"));
+            self.record_violation(
+                Rule::DrainWindow,
+                Some(connection),
+                format!("a claim {late} us after it was told"),
+            );
         }
     }
 
     fn passes_up(&mut self, connection: usize, bytes: &[u8]) {
         let now = self.now;
-        let Some(submission) = self.claim(connection).and_then(|claim| claim.submission) else { return };
+        let Some(submission) = self.attempt(connection).and_then(|attempt| attempt.submission) else {
+            return;
+        };
         let Some(s) = self.submission(submission) else { return };
         let mut late = false;
         for &byte in bytes {
             let since = s.up_passing.chunks.front().map(|(at, _)| *at);
             if !s.up_passing.take(byte) {
-                self.breach(Rule::Changed, Some(connection), "bytes that did not come go up".into());
+                self.record_violation(
+                    Rule::Changed,
+                    Some(connection),
+                    "bytes that did not come go up".into(),
+                );
                 return;
             }
             if byte == b'\n' {
@@ -891,64 +932,64 @@
             }
         }
         if late {
-            self.breach(Rule::HeldBack, Some(connection), "a line went up late".into());
+            self.record_violation(Rule::HeldBack, Some(connection), "a line went up late".into());
         }
     }
 
     /// What an execute node sends reaches the proxy.
-    fn node_says(&mut self, connection: usize, segment: &Segment) {
+    fn backend_says(&mut self, connection: usize, segment: &Segment) {
         let now = self.now;
-        let Some(claim) = self.claim_mut(connection) else { return };
+        let Some(attempt) = self.attempt_mut(connection) else { return };
         let Segment::Bytes(bytes) = segment else {
-            claim.gone.get_or_insert(now);
+            attempt.gone.get_or_insert(now);
             return;
         };
-        let tail = claim.came.len().saturating_sub(8);
-        match claim.submission {
+        let tail = attempt.came.len().saturating_sub(8);
+        match attempt.submission {
             Some(submission) => {
-                let said = [&claim.came[tail..], bytes.as_slice()].concat();
-                claim.said_end |= [&b"BYE\r\n"[..], b"MOVE\r\n"].iter().any(|end| said.ends_with(end));
+                let said = [&attempt.came[tail..], bytes.as_slice()].concat();
+                attempt.said_end |= [&b"BYE\r\n"[..], b"MOVE\r\n"].iter().any(|end| said.ends_with(end));
                 // Only as much as shows an ending on the next bytes.
-                claim.came = said[said.len().saturating_sub(8)..].to_vec();
+                attempt.came = said[said.len().saturating_sub(8)..].to_vec();
                 if let Some(s) = self.submission(submission) {
                     s.down_passing.came(now, bytes);
                 }
             }
-            None => claim.came.extend_from_slice(bytes),
+            None => attempt.came.extend_from_slice(bytes),
         }
     }
 
     /// What a proxy sent reaches an execute node: the cold budget counts whole openings.
-    fn node_hears(&mut self, connection: usize, segment: &Segment) {
+    fn backend_hears(&mut self, connection: usize, segment: &Segment) {
         let Segment::Bytes(bytes) = segment else { return };
         let now = self.now;
-        let Some(claim) = self.claim(connection) else { return };
+        let Some(attempt) = self.attempt(connection) else { return };
         // The line's end in these bytes; what stands after it on a connection that is up are no openings.
-        if claim.submission.is_some() || claim.id.is_none() || !bytes.contains(&b'\n') {
+        if attempt.submission.is_some() || attempt.id.is_none() || !bytes.contains(&b'\n') {
             return;
         }
-        let (proxy, node) = (claim.proxy, claim.node);
-        let Some(since) = self.nodes[node].truth.cold_since else { return };
+        let (proxy, backend) = (attempt.proxy, attempt.backend);
+        let Some(since) = self.backends[backend].truth.cold_since else { return };
         let rule = self.cold;
         let age = now.saturating_sub(since);
         if age >= rule.warm {
             return;
         }
-        let told = self.proxies[proxy].starts.get(&node).is_some_and(|&start| start >= since);
-        let reached = &mut self.nodes[node].reached;
+        let told = self.proxies[proxy].starts.get(&backend).is_some_and(|&start| start >= since);
+        let reached = &mut self.backends[backend].reached;
         reached.push_back((now, told));
         while reached.front().is_some_and(|(at, _)| at + rule.fall < now) {
             reached.pop_front();
         }
         let part = rule.from + (1.0 - rule.from) * age as f64 / rule.warm as f64;
-        let budget = rule.multiple * self.nodes[node].truth.rate * part * rule.fall as f64 / 1e6;
-        let count = self.nodes[node].reached.len();
-        let knowing = self.nodes[node].reached.iter().filter(|(_, told)| *told).count();
+        let budget = rule.multiple * self.backends[backend].truth.rate * part * rule.fall as f64 / 1e6;
+        let count = self.backends[backend].reached.len();
+        let knowing = self.backends[backend].reached.iter().filter(|(_, told)| *told).count();
         // Some slack for chance: what a draw of that mean exceeds about once in a thousand.
         let most = budget + 3.0 * budget.sqrt() + 2.0;
         if count as f64 > most && knowing * 3 >= count * 2 {
             let what = format!("{count} openings in the window where {budget:.1} are its multiple");
-            self.breach(Rule::ColdOverrun, Some(connection), what);
+            self.record_violation(Rule::ColdOverrun, Some(connection), what);
         }
     }
 
@@ -982,10 +1023,14 @@
         let (calls, changes) = (proxy.calls.len(), proxy.changes.len());
         if since.is_some_and(|at| now > at + WATCH + GRACE) {
             let late = now - since.unwrap_or(now);
-            self.breach(Rule::WatchGap, Some(connection), format!("the next call came after {late} us"));
+            self.record_violation(
+                Rule::WatchGap,
+                Some(connection),
+                format!("the next call came after {late} us"),
+            );
         }
         if calls > CALLS + changes {
-            self.breach(Rule::Hammering, Some(connection), format!("{calls} calls in a second"));
+            self.record_violation(Rule::Hammering, Some(connection), format!("{calls} calls in a second"));
         }
     }
 
@@ -1020,19 +1065,19 @@
             proxy.changes.push_back(now);
         }
         if whole || list.snapshot {
-            for (name, &node) in &self.names {
+            for (name, &backend) in &self.names {
                 if !list.endpoints.iter().any(|endpoint| endpoint.name == *name) {
-                    proxy.told.entry(node).or_insert(now);
+                    proxy.told.entry(backend).or_insert(now);
                 }
             }
         }
         for endpoint in &list.endpoints {
-            let Some(&node) = self.names.get(&endpoint.name) else { continue };
+            let Some(&backend) = self.names.get(&endpoint.name) else { continue };
             if endpoint.status == "ready" {
-                proxy.told.remove(&node);
-                proxy.starts.insert(node, endpoint.since_ms * 1_000);
+                proxy.told.remove(&backend);
+                proxy.starts.insert(backend, endpoint.since_ms * 1_000);
             } else {
-                proxy.told.entry(node).or_insert(now);
+                proxy.told.entry(backend).or_insert(now);
             }
         }
     }
@@ -1041,36 +1086,36 @@
     fn sweep(&mut self) {
         let now = self.now;
         let mut found: Vec<(Rule, usize, &str)> = Vec::new();
-        let (lines, nodes) = (&mut self.lines, &self.nodes);
+        let (lines, backends) = (&mut self.lines, &self.backends);
         self.live.retain(|&connection| {
             let line = &lines[connection];
             match &line.kind {
                 Kind::Submission(s) => s.ended.is_none(),
-                Kind::Claim(claim) => !claim.ended,
+                Kind::Attempt(attempt) => !attempt.ended,
                 _ => false,
             }
         });
         for &connection in &self.live {
             match &lines[connection].kind {
                 Kind::Submission(s) => {
-                    let claim = s.claim.and_then(|claim| match &lines[claim].kind {
-                        Kind::Claim(claim) => Some(claim),
+                    let attempt = s.attempt.and_then(|attempt| match &lines[attempt].kind {
+                        Kind::Attempt(attempt) => Some(attempt),
                         _ => None,
                     });
                     if s.left.is_some_and(|at| now > at + END + GRACE) {
                         // The other side is ended too; the submitter's own end may come a moment later.
-                        if claim.is_some_and(|claim| s.up && !claim.ended && claim.gone.is_none()) {
+                        if attempt.is_some_and(|attempt| s.up && !attempt.ended && attempt.gone.is_none()) {
                             found.push((Rule::EndKept, connection, "the submitter's end is not passed on"));
                         }
                     } else if s.left.is_none() {
-                        let due = s.job.as_ref().map(|job| job.2);
+                        let due = s.request.as_ref().map(|request| request.2);
                         if s.answers == 0 && due.is_some_and(|due| now > due + GRACE) {
                             found.push((Rule::Unanswered, connection, "no answer though its time is up"));
                         }
                         if s.bad && s.answers == 0 && now > s.opened_at + BAD + GRACE {
                             found.push((Rule::BadUnanswered, connection, "neither an error nor a close"));
                         }
-                        let gone = claim.and_then(|claim| claim.gone);
+                        let gone = attempt.and_then(|attempt| attempt.gone);
                         if s.up && gone.is_some_and(|at| now > at + END + GRACE) && !s.slow {
                             found.push((
                                 Rule::EndKept,
@@ -1087,7 +1132,7 @@
                             ));
                         }
                         let held = s.up_passing.oldest_line().is_some_and(|at| now > at + HELD + GRACE);
-                        let answers = claim.is_some_and(|claim| nodes[claim.node].truth.answers);
+                        let answers = attempt.is_some_and(|attempt| backends[attempt.backend].truth.answers);
                         if s.up && held && answers && gone.is_none() {
                             found.push((
                                 Rule::HeldBack,
@@ -1101,11 +1146,11 @@
                         }
                     }
                 }
-                Kind::Claim(_) | Kind::Call(_) | Kind::Other => {}
+                Kind::Attempt(_) | Kind::Call(_) | Kind::Other => {}
             }
         }
         for (rule, connection, what) in found {
-            self.breach(rule, Some(connection), what.to_string());
+            self.record_violation(rule, Some(connection), what.to_string());
             // Once is enough.
             self.live.retain(|&c| c != connection);
         }
@@ -1114,12 +1159,20 @@
             let late = proxy.answered_at.is_some_and(|at| now > at + WATCH + GRACE);
             if late && proxy.running && proxy.stopping.is_none() {
                 proxy.answered_at = None;
-                self.breach(Rule::WatchGap, None, format!("proxy {index} does not carry its watch on"));
+                self.record_violation(
+                    Rule::WatchGap,
+                    None,
+                    format!("proxy {index} does not carry its watch on"),
+                );
             }
             let proxy = &mut self.proxies[index];
             if now > proxy.asked_at + ASKED + GRACE && proxy.running && proxy.stopping.is_none() {
                 proxy.asked_at = now;
-                self.breach(Rule::WatchGap, None, format!("proxy {index} has not asked for so long"));
+                self.record_violation(
+                    Rule::WatchGap,
+                    None,
+                    format!("proxy {index} has not asked for so long"),
+                );
             }
         }
     }
--- a/crates/world/src/panics.rs
+++ b/crates/world/src/panics.rs
@@ -10,7 +10,7 @@
 }
 
 /// Number of panics on this thread since the first call in the process.
-pub fn seen() -> u64 {
+pub fn panic_count() -> u64 {
     static HOOK: Once = Once::new();
     HOOK.call_once(|| {
         let before = std::panic::take_hook();
@@ -27,11 +27,11 @@
 }
 
 /// Says that a run begins on this thread, or ends: its panics are counted and not printed.
-pub fn playing(now: bool) {
+pub fn set_simulating(now: bool) {
     PLAYING.with(|playing| playing.set(now));
 }
 
 /// What the last of them said.
-pub fn last() -> String {
+pub fn last_message() -> String {
     LAST.with(|last| last.borrow().clone())
 }
--- a/crates/world/src/real.rs
+++ b/crates/world/src/real.rs
@@ -2,12 +2,12 @@
 //! this process on the real machine's host; a process is a set of tasks that end together.
 #![allow(clippy::disallowed_methods)] // a machine of its own, whose tasks end together
 
-use crate::discovery::{Book, Entry, Service};
-use crate::node::{Node, Warming, Weather};
+use crate::backend::{Backend, Degradation, SlowStart};
+use crate::client::{Client, Outcome, ProxySelector};
+use crate::discovery::{EndpointStore, Entry, Service};
 use crate::rng::stream;
 use crate::run::{config_text, entry};
 use crate::script::{Fault, Script};
-use crate::submitter::{Front, Outcome, Submitter};
 use pierloom_host::{Host, Local, Machine, Micros, Signal, Signals, TcpListener, TcpStream};
 use pierloom_proxy::{Handlers, Parts, config};
 use std::any::Any;
@@ -116,42 +116,46 @@
     let director = Host::os();
     let late = Rc::new(Cell::new(0));
     let addresses: Vec<SocketAddr> =
-        script.nodes.iter().map(|_| free(&director)).collect::<Result<_, _>>()?;
+        script.backends.iter().map(|_| free(&director)).collect::<Result<_, _>>()?;
     let entries = addresses.iter().enumerate();
     let entries = entries.map(|(i, address)| entry(script, i, *address, "ready", None)).collect();
-    let book = Book::new(entries);
+    let endpoint_store = EndpointStore::new(entries);
     let (host, _discovery) = process("");
     let listener = host.listen(free(&host)?, 64, false).map_err(|e| e.to_string())?;
     let discovery = listener.address();
-    host.spawn(Service::new(book.clone(), host.clone()).serve(listener));
-    let weather: Vec<_> = script.nodes.iter().map(|_| Weather::fair(late.clone())).collect();
+    host.spawn(Service::new(endpoint_store.clone(), host.clone()).serve(listener));
+    let degradations: Vec<_> = script.backends.iter().map(|_| Degradation::none(late.clone())).collect();
     let start = {
-        let (script, weather, addresses) = (script.clone(), weather.clone(), addresses.clone());
-        move |index: usize, since: Option<Micros>| -> Option<(Kill, Rc<Node>)> {
+        let (script, degradations, addresses) = (script.clone(), degradations.clone(), addresses.clone());
+        move |index: usize, since: Option<Micros>| -> Option<(Kill, Rc<Backend>)> {
             let (host, kill) = process("");
-            let warming = Warming { from: script.contract.cold_from, time: script.contract.cold_ms * 1_000 };
-            let rng =
-                stream(script.order, &format!("{} {}", script.nodes[index].name, u64::from(since.is_some())));
-            let node = Node::new(
-                script.nodes[index].clone(),
+            let slow_start =
+                SlowStart { from: script.contract.cold_from, time: script.contract.cold_ms * 1_000 };
+            let rng = stream(
+                script.order,
+                &format!("{} {}", script.backends[index].name, u64::from(since.is_some())),
+            );
+            let backend = Backend::new(
+                script.backends[index].clone(),
                 host.clone(),
-                warming,
+                slow_start,
                 since,
-                weather[index].clone(),
+                degradations[index].clone(),
                 rng,
             );
             let listener = host.listen(addresses[index], 1024, false).ok()?;
-            host.spawn(node.clone().serve(listener));
-            Some((kill, node))
+            host.spawn(backend.clone().serve(listener));
+            Some((kill, backend))
         }
     };
-    let nodes: Vec<_> = (0..script.nodes.len()).map(|i| RefCell::new(start(i, None))).collect();
-    let nodes = Rc::new(nodes);
-    let front = Rc::new(Front::default());
+    let backends: Vec<_> = (0..script.backends.len()).map(|i| RefCell::new(start(i, None))).collect();
+    let backends = Rc::new(backends);
+    let proxy_selector = Rc::new(ProxySelector::default());
     let mut proxies = Vec::new();
     for (index, spec) in script.proxies.iter().enumerate() {
         let address = free(&director)?;
-        let (host, kill) = process(&config_text(script, index, spec.seed, address, discovery, &book.whole()));
+        let (host, kill) =
+            process(&config_text(script, index, spec.seed, address, discovery, &endpoint_store.snapshot()));
         let config = config::read(&host, Path::new("config"))?;
         let parts = Parts::of(&config)?;
         let handlers = Handlers::install(&host)?;
@@ -160,7 +164,7 @@
             // It ends with the run.
             let _ = pierloom_proxy::run(machine, handlers, config, parts).await;
         });
-        front.proxies.borrow_mut().push((spec.zone, address, true));
+        proxy_selector.proxies.borrow_mut().push((spec.zone, address, true));
         proxies.push(kill);
     }
     let begin = director.now() + 300_000;
@@ -172,35 +176,52 @@
         });
     };
     for fault in &script.faults {
-        let place = |name: &str| script.nodes.iter().position(|node| node.name == name).unwrap_or(0);
+        let place = |name: &str| script.backends.iter().position(|backend| backend.name == name).unwrap_or(0);
         match fault.clone() {
-            Fault::Crash { node, at_ms, until_ms } => {
-                let index = place(&node);
-                stop(&at, at_ms, index, &nodes);
+            Fault::Crash { node: backend, at_ms, until_ms } => {
+                let index = place(&backend);
+                stop(&at, at_ms, index, &backends);
                 let gone = entry(script, index, addresses[index], "gone", None);
-                let tells = book.clone();
-                at(at_ms + 1_500, Box::new(move || tells.tell(gone)));
-                back(&at, until_ms, index, &nodes, &start, (script, addresses[index], &book), &director);
+                let tells = endpoint_store.clone();
+                at(at_ms + 1_500, Box::new(move || tells.publish(gone)));
+                back(
+                    &at,
+                    until_ms,
+                    index,
+                    &backends,
+                    &start,
+                    (script, addresses[index], &endpoint_store),
+                    &director,
+                );
             }
-            Fault::Drain { node, at_ms, stop_ms, until_ms } => {
-                let index = place(&node);
+            Fault::Drain { node: backend, at_ms, stop_ms, until_ms } => {
+                let index = place(&backend);
                 let told = entry(script, index, addresses[index], "draining", None);
-                let (tells, all) = (book.clone(), nodes.clone());
+                let (tells, all) = (endpoint_store.clone(), backends.clone());
                 at(
                     at_ms,
                     Box::new(move || {
-                        all[index].borrow().iter().for_each(|(_, node)| node.drain());
-                        tells.tell(told);
+                        all[index].borrow().iter().for_each(|(_, backend)| backend.drain());
+                        tells.publish(told);
                     }),
                 );
-                stop(&at, stop_ms, index, &nodes);
+                stop(&at, stop_ms, index, &backends);
                 let gone = entry(script, index, addresses[index], "gone", None);
-                let tells = book.clone();
-                at(stop_ms, Box::new(move || tells.tell(gone)));
-                back(&at, until_ms, index, &nodes, &start, (script, addresses[index], &book), &director);
+                let tells = endpoint_store.clone();
+                at(stop_ms, Box::new(move || tells.publish(gone)));
+                back(
+                    &at,
+                    until_ms,
+                    index,
+                    &backends,
+                    &start,
+                    (script, addresses[index], &endpoint_store),
+                    &director,
+                );
             }
-            Fault::Slow { node, at_ms, until_ms, factor } => {
-                let (one, two) = (weather[place(&node)].clone(), weather[place(&node)].clone());
+            Fault::Slow { node: backend, at_ms, until_ms, factor } => {
+                let (one, two) =
+                    (degradations[place(&backend)].clone(), degradations[place(&backend)].clone());
                 at(at_ms, Box::new(move || one.slow.set(factor)));
                 at(until_ms, Box::new(move || two.slow.set(1.0)));
             }
@@ -213,40 +234,43 @@
         }
     }
     let mut lives = Vec::new();
-    let mut submitters = Vec::new();
-    for (index, spec) in script.submitters.iter().enumerate() {
-        let submitter = Rc::new(Submitter {
+    let mut clients = Vec::new();
+    for (index, spec) in script.clients.iter().enumerate() {
+        let client = Rc::new(Client {
             spec: spec.clone(),
             index,
             host: director.clone(),
-            front: front.clone(),
+            proxy_selector: proxy_selector.clone(),
             rng: RefCell::new(stream(script.order, &format!("submitter {}", spec.key))),
             deadline_ms: script.contract.deadline_ms,
             aim: script.contract.message_ms * 1_000,
             outcome: RefCell::default(),
             tries: Cell::new(0),
         });
-        submitters.push(submitter.clone());
+        clients.push(client.clone());
         let host = director.clone();
         lives.push(director.spawn(async move {
-            host.sleep_until(begin + submitter.spec.at_ms * 1_000).await;
-            submitter.live().await;
+            host.sleep_until(begin + client.spec.at_ms * 1_000).await;
+            client.live().await;
         }));
     }
     for life in lives {
         life.await;
     }
     proxies.iter().for_each(Kill::kill);
-    nodes.iter().for_each(|node| node.borrow().iter().for_each(|(kill, _)| kill.kill()));
-    Ok(RealReport { outcomes: submitters.iter().map(|s| s.outcome.borrow().clone()).collect() })
+    backends.iter().for_each(|backend| backend.borrow().iter().for_each(|(kill, _)| kill.kill()));
+    Ok(RealReport { outcomes: clients.iter().map(|s| s.outcome.borrow().clone()).collect() })
 }
 
-type Nodes = Rc<Vec<RefCell<Option<(Kill, Rc<Node>)>>>>;
+type Backends = Rc<Vec<RefCell<Option<(Kill, Rc<Backend>)>>>>;
 
 /// An execute node's process ends at that time.
-fn stop(at: &impl Fn(u64, Box<dyn FnOnce()>), ms: u64, index: usize, nodes: &Nodes) {
-    let nodes = nodes.clone();
-    at(ms, Box::new(move || nodes[index].borrow_mut().take().into_iter().for_each(|(kill, _)| kill.kill())));
+fn stop(at: &impl Fn(u64, Box<dyn FnOnce()>), ms: u64, index: usize, backends: &Backends) {
+    let backends = backends.clone();
+    at(
+        ms,
+        Box::new(move || backends[index].borrow_mut().take().into_iter().for_each(|(kill, _)| kill.kill())),
+    );
 }
 
 /// It comes back cold under its name, and discovery tells of it a little later.
@@ -254,24 +278,24 @@
     at: &impl Fn(u64, Box<dyn FnOnce()>),
     ms: Option<u64>,
     index: usize,
-    nodes: &Nodes,
-    start: &(impl Fn(usize, Option<Micros>) -> Option<(Kill, Rc<Node>)> + Clone + 'static),
-    (script, address, book): (&Script, SocketAddr, &Rc<Book>),
+    backends: &Backends,
+    start: &(impl Fn(usize, Option<Micros>) -> Option<(Kill, Rc<Backend>)> + Clone + 'static),
+    (script, address, endpoint_store): (&Script, SocketAddr, &Rc<EndpointStore>),
     host: &Host,
 ) {
     let Some(ms) = ms else { return };
-    let (nodes, start, host, book, script) =
-        (nodes.clone(), start.clone(), host.clone(), book.clone(), script.clone());
+    let (backends, start, host, endpoint_store, script) =
+        (backends.clone(), start.clone(), host.clone(), endpoint_store.clone(), script.clone());
     at(
         ms,
         Box::new(move || {
             let now = host.now();
-            *nodes[index].borrow_mut() = start(index, Some(now));
+            *backends[index].borrow_mut() = start(index, Some(now));
             let told: Entry = entry(&script, index, address, "ready", Some(now));
             let later = host.clone();
             host.spawn(async move {
                 later.sleep_until(now + 500_000).await;
-                book.tell(told);
+                endpoint_store.publish(told);
             });
         }),
     );
--- a/crates/world/src/run.rs
+++ b/crates/world/src/run.rs
@@ -1,14 +1,14 @@
 //! Plays a script: starts all parties on the virtual clock, brings the faults about, and asks the observer.
 
-use crate::discovery::{Book, Entry, Service};
+use crate::backend::{Backend, Degradation, SlowStart, capacity};
+use crate::client::{Client, Outcome, ProxySelector};
+use crate::discovery::{EndpointStore, Entry, Service};
 use crate::lines::{Lines, within, write};
-use crate::net::{Bend, Links, Net, Start};
-use crate::node::{Node, Warming, Weather, capacity};
-use crate::observer::{Breach, ColdRule, Counts, NodeTruth, Observer, Role, Rule, Trace};
+use crate::net::{InjectedDefect, LinkConditions, Net, ProcessOptions};
+use crate::observer::{BackendState, Counts, Observer, Role, Rule, SlowStartRule, Trace, Violation};
 use crate::rng::{Rng, stream};
 use crate::script::{Fault, Script};
 use crate::sim::{EPOCH, ProcessId, Sim};
-use crate::submitter::{Front, Outcome, Submitter};
 use pierloom_host::{Host, Micros, Signal};
 use pierloom_proxy::{Handlers, Parts, config};
 use rand::Rng as _;
@@ -40,13 +40,14 @@
 const KILL_SLACK: Micros = 700_000;
 
 /// Builds a proxy's parts from its config; the usual ones, or ones with a planted defect.
-pub type Build = Rc<dyn Fn(&config::Config) -> Result<Parts, String>>;
+pub type ComponentFactory = Rc<dyn Fn(&config::Config) -> Result<Parts, String>>;
 
 /// What a run came to.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
     /// Broken rules.
-    pub breaches: Vec<Breach>,
+    #[serde(rename = "breaches")]
+    pub violations: Vec<Violation>,
     /// One hash of everything that crossed the sockets, with its times.
     pub digest: u64,
     /// What it held.
@@ -59,7 +60,7 @@
     pub length: Micros,
     /// Everything that crossed the sockets, where it was asked for.
     #[serde(skip)]
-    pub told: Vec<String>,
+    pub trace_lines: Vec<String>,
 }
 
 impl Report {
@@ -85,27 +86,27 @@
     /// What becomes of everything that crosses the sockets.
     pub trace: Trace,
     /// Builds the proxies; the usual way where there is none.
-    pub build: Option<Build>,
+    pub build: Option<ComponentFactory>,
     /// Planted in the proxies' sockets and timers.
-    pub bend: Option<Bend>,
+    pub injected_defect: Option<InjectedDefect>,
 }
 
 struct World {
     script: Script,
     sim: Rc<Sim>,
-    book: Rc<Book>,
+    endpoint_store: Rc<EndpointStore>,
     service: RefCell<Option<Rc<Service>>>,
     discovery: Cell<ProcessId>,
     /// Where discovery is now: moves with each reload.
     place: Cell<u8>,
-    weather: Vec<Rc<Weather>>,
+    degradations: Vec<Rc<Degradation>>,
     late: Rc<Cell<Micros>>,
-    nodes: RefCell<Vec<(ProcessId, Rc<Node>)>>,
-    truths: RefCell<Vec<NodeTruth>>,
-    front: Rc<Front>,
+    backends: RefCell<Vec<(ProcessId, Rc<Backend>)>>,
+    truths: RefCell<Vec<BackendState>>,
+    proxy_selector: Rc<ProxySelector>,
     rng: RefCell<Rng>,
-    build: Build,
-    bend: Option<Bend>,
+    build: ComponentFactory,
+    injected_defect: Option<InjectedDefect>,
     starts: Cell<u64>,
     ended: RefCell<Vec<bool>>,
 }
@@ -114,7 +115,7 @@
     SocketAddr::new(IpAddr::V4(Ipv4Addr::new(10, 0, 0, index as u8 + 1)), 7070)
 }
 
-fn node_address(index: usize) -> SocketAddr {
+fn backend_address(index: usize) -> SocketAddr {
     SocketAddr::new(IpAddr::V4(Ipv4Addr::new(10, 1, 0, index as u8 + 1)), 7070)
 }
 
@@ -130,7 +131,7 @@
     status: &'static str,
     since: Option<Micros>,
 ) -> Entry {
-    let spec = &script.nodes[index];
+    let spec = &script.backends[index];
     Entry {
         name: spec.name.clone(),
         address: address.to_string(),
@@ -173,7 +174,7 @@
 
 /// Plays a script to its end.
 pub fn play(script: &Script, options: &Options) -> Report {
-    let links = Links {
+    let links = LinkConditions {
         same: script.links.same_us,
         cross: script.links.cross_us,
         jitter: script.links.jitter,
@@ -182,56 +183,60 @@
         lossy: script.links.lossy,
     };
     let contract = &script.contract;
-    let cold = ColdRule {
+    let cold = SlowStartRule {
         from: contract.cold_from,
         warm: contract.cold_ms * 1_000,
         multiple: contract.fall_multiple,
         fall: contract.fall_ms * 1_000,
     };
-    let names: Vec<String> = script.nodes.iter().map(|node| node.name.clone()).collect();
+    let names: Vec<String> = script.backends.iter().map(|backend| backend.name.clone()).collect();
     let observer = Observer::new(script.proxies.len(), &names, cold, options.trace);
     let sim = Sim::new(script.order, Net::new(links, stream(script.order, "links")), observer);
-    let entries = script.nodes.iter().enumerate().map(|(i, node)| Entry {
-        name: node.name.clone(),
-        address: node_address(i).to_string(),
-        zone: ZONES[node.zone].into(),
+    let entries = script.backends.iter().enumerate().map(|(i, backend)| Entry {
+        name: backend.name.clone(),
+        address: backend_address(i).to_string(),
+        zone: ZONES[backend.zone].into(),
         status: "ready",
-        weight: f64::from(node.cores),
+        weight: f64::from(backend.cores),
         since_ms: 0,
     });
     let late = Rc::new(Cell::new(0));
     let world = Rc::new(World {
         script: script.clone(),
         sim: sim.clone(),
-        book: Book::new(entries.collect()),
+        endpoint_store: EndpointStore::new(entries.collect()),
         service: RefCell::default(),
         discovery: Cell::new(0),
         place: Cell::new(0),
-        weather: names.iter().map(|_| Weather::fair(late.clone())).collect(),
+        degradations: names.iter().map(|_| Degradation::none(late.clone())).collect(),
         late,
-        nodes: RefCell::default(),
-        truths: RefCell::new(vec![NodeTruth::default(); names.len()]),
-        front: Rc::default(),
+        backends: RefCell::default(),
+        truths: RefCell::new(vec![BackendState::default(); names.len()]),
+        proxy_selector: Rc::default(),
         rng: RefCell::new(stream(script.order, "director")),
         build: options.build.clone().unwrap_or_else(|| Rc::new(Parts::of)),
-        bend: options.bend,
+        injected_defect: options.injected_defect,
         starts: Cell::new(0),
         ended: RefCell::new(vec![false; script.proxies.len()]),
     });
-    let panics = crate::panics::seen();
-    crate::panics::playing(true);
+    let panics = crate::panics::panic_count();
+    crate::panics::set_simulating(true);
     world.start_discovery();
-    (0..names.len()).for_each(|index| world.start_node(index, None));
+    (0..names.len()).for_each(|index| world.start_backend(index, None));
     for index in 0..script.proxies.len() {
-        world.front.proxies.borrow_mut().push((script.proxies[index].zone, proxy_address(index), false));
+        world.proxy_selector.proxies.borrow_mut().push((
+            script.proxies[index].zone,
+            proxy_address(index),
+            false,
+        ));
         world.start_proxy(index);
     }
-    let submitters = world.start_submitters();
+    let clients = world.start_clients();
     script.faults.iter().for_each(|fault| world.clone().plan(fault));
     let end = EPOCH + script.length_ms * 1_000;
     let mut rested = sim.run_until(end);
     // All submitters end by their own lives; then everything comes to rest, and nothing may be left.
-    let lives = submitters.iter().map(|s| s.spec.at_ms + s.spec.life_ms).max().unwrap_or(0);
+    let lives = clients.iter().map(|s| s.spec.at_ms + s.spec.life_ms).max().unwrap_or(0);
     let quiet = (EPOCH + lives * 1_000).max(end) + SETTLE;
     rested = rested && sim.run_until(quiet);
     if rested {
@@ -240,26 +245,30 @@
     }
     if !rested {
         let at = sim.now() - EPOCH;
-        sim.observer.borrow_mut().saw(Rule::Restless, format!("no rest within the instant {at} us"));
+        sim.observer
+            .borrow_mut()
+            .report_violation(Rule::Restless, format!("no rest within the instant {at} us"));
     }
-    let panics = crate::panics::seen() - panics;
+    let panics = crate::panics::panic_count() - panics;
     if panics > 0 {
-        sim.observer.borrow_mut().saw(Rule::Panic, format!("{panics} panics: {}", crate::panics::last()));
+        sim.observer
+            .borrow_mut()
+            .report_violation(Rule::Panic, format!("{panics} panics: {}", crate::panics::last_message()));
     }
     let report = {
         let observer = sim.observer.borrow();
         Report {
-            breaches: observer.breaches.clone(),
+            violations: observer.violations.clone(),
             digest: observer.digest(),
             counts: observer.counts,
             work: sim.work(),
-            outcomes: submitters.iter().map(|s| s.outcome.borrow().clone()).collect(),
+            outcomes: clients.iter().map(|s| s.outcome.borrow().clone()).collect(),
             length: sim.now() - EPOCH,
-            told: observer.told.clone(),
+            trace_lines: observer.trace_lines.clone(),
         }
     };
     world.take_down();
-    crate::panics::playing(false);
+    crate::panics::set_simulating(false);
     report
 }
 
@@ -282,67 +291,74 @@
 
     fn start_discovery(self: &Rc<Self>) {
         let address = discovery_address(self.place.get());
-        let (id, host) = self.sim.start(Start::plain("discovery", 0, address.ip()));
-        self.sim.observer.borrow_mut().enroll(id, Role::Discovery, "discovery");
+        let (id, host) = self.sim.start(ProcessOptions::plain("discovery", 0, address.ip()));
+        self.sim.observer.borrow_mut().register_process(id, Role::Discovery, "discovery");
         self.discovery.set(id);
-        let service = Service::new(self.book.clone(), host.clone());
+        let service = Service::new(self.endpoint_store.clone(), host.clone());
         *self.service.borrow_mut() = Some(service.clone());
         if let Ok(listener) = host.listen(address, 64, false) {
             host.spawn(service.serve(listener));
         }
     }
 
-    fn start_node(self: &Rc<Self>, index: usize, cold_since: Option<Micros>) {
-        let spec = &self.script.nodes[index];
-        let address = node_address(index);
-        let (id, host) = self.sim.start(Start::plain(&spec.name, spec.zone, address.ip()));
-        self.sim.observer.borrow_mut().enroll(id, Role::Node(index), &spec.name);
+    fn start_backend(self: &Rc<Self>, index: usize, cold_since: Option<Micros>) {
+        let spec = &self.script.backends[index];
+        let address = backend_address(index);
+        let (id, host) = self.sim.start(ProcessOptions::plain(&spec.name, spec.zone, address.ip()));
+        self.sim.observer.borrow_mut().register_process(id, Role::Backend(index), &spec.name);
         let contract = &self.script.contract;
-        let warming = Warming { from: contract.cold_from, time: contract.cold_ms * 1_000 };
+        let slow_start = SlowStart { from: contract.cold_from, time: contract.cold_ms * 1_000 };
         let rng = stream(self.script.order, &format!("{} {}", spec.name, cold_since.unwrap_or(0)));
-        let weather = self.weather[index].clone();
-        let node = Node::new(spec.clone(), host.clone(), warming, cold_since, weather, rng);
+        let degradation = self.degradations[index].clone();
+        let backend = Backend::new(spec.clone(), host.clone(), slow_start, cold_since, degradation, rng);
         if let Ok(listener) = host.listen(address, 1024, false) {
-            host.spawn(node.clone().serve(listener));
+            host.spawn(backend.clone().serve(listener));
         }
-        let mut nodes = self.nodes.borrow_mut();
-        if index < nodes.len() {
-            nodes[index] = (id, node)
+        let mut backends = self.backends.borrow_mut();
+        if index < backends.len() {
+            backends[index] = (id, backend)
         } else {
-            nodes.push((id, node))
+            backends.push((id, backend))
         }
-        drop(nodes);
+        drop(backends);
         self.truth(index, |truth| {
-            *truth = NodeTruth { answers: true, cold_since, rate: capacity(spec) / LIFE };
+            *truth = BackendState { answers: true, cold_since, rate: capacity(spec) / LIFE };
         });
     }
 
-    fn truth(&self, index: usize, change: impl FnOnce(&mut NodeTruth)) {
+    fn truth(&self, index: usize, change: impl FnOnce(&mut BackendState)) {
         let mut truths = self.truths.borrow_mut();
         change(&mut truths[index]);
-        self.sim.observer.borrow_mut().node(index, truths[index]);
+        self.sim.observer.borrow_mut().backend(index, truths[index]);
     }
 
     fn entry(&self, index: usize, status: &'static str, since: Option<Micros>) -> Entry {
-        entry(&self.script, index, node_address(index), status, since)
+        entry(&self.script, index, backend_address(index), status, since)
     }
 
     fn config(&self, index: usize) -> String {
         // A start of its own draws numbers of its own.
         let seed = self.script.proxies[index].seed.wrapping_add(self.starts.replace(self.starts.get() + 1));
         let discovery = discovery_address(self.place.get());
-        config_text(&self.script, index, seed, proxy_address(index), discovery, &self.book.whole())
+        config_text(
+            &self.script,
+            index,
+            seed,
+            proxy_address(index),
+            discovery,
+            &self.endpoint_store.snapshot(),
+        )
     }
 
     fn start_proxy(self: &Rc<Self>, index: usize) {
         let (spec, name) = (&self.script.proxies[index], format!("p{index}"));
         let address = proxy_address(index);
-        let mut start = Start::plain(&name, spec.zone, address.ip());
-        start.descriptors = spec.descriptors;
-        start.bend = self.bend;
-        start.files.insert(CONFIG.into(), self.config(index).into_bytes());
-        let (id, host) = self.sim.start(start);
-        self.sim.observer.borrow_mut().enroll(id, Role::Proxy(index), &name);
+        let mut options = ProcessOptions::plain(&name, spec.zone, address.ip());
+        options.descriptors = spec.descriptors;
+        options.injected_defect = self.injected_defect;
+        options.files.insert(CONFIG.into(), self.config(index).into_bytes());
+        let (id, host) = self.sim.start(options);
+        self.sim.observer.borrow_mut().register_process(id, Role::Proxy(index), &name);
         self.ended.borrow_mut()[index] = false;
         let read = config::read(&host, Path::new(CONFIG));
         let parts = read.and_then(|config| Ok((Handlers::install(&host)?, (self.build)(&config)?, config)));
@@ -361,7 +377,8 @@
 
     /// The front takes a proxy in once it has answered.
     fn let_in(self: &Rc<Self>, index: usize, address: SocketAddr) {
-        let (_, host) = self.sim.start(Start::plain("front", 0, IpAddr::V4(Ipv4Addr::new(10, 3, 0, 1))));
+        let (_, host) =
+            self.sim.start(ProcessOptions::plain("front", 0, IpAddr::V4(Ipv4Addr::new(10, 3, 0, 1))));
         let (world, machine) = (self.clone(), host.clone());
         host.spawn(async move {
             for _ in 0..100 {
@@ -372,7 +389,7 @@
                 };
                 let answer = within(&machine, machine.now() + 1_000_000, asked).await.flatten();
                 if answer.as_deref() == Some("PONG") {
-                    world.front.proxies.borrow_mut()[index].2 = true;
+                    world.proxy_selector.proxies.borrow_mut()[index].2 = true;
                     return;
                 }
                 machine.sleep_until(machine.now() + 100_000).await;
@@ -385,7 +402,7 @@
             return;
         }
         if let Err(fault) = ended {
-            self.sim.observer.borrow_mut().saw(Rule::Exit, format!("proxy {index}: {fault}"));
+            self.sim.observer.borrow_mut().report_violation(Rule::Exit, format!("proxy {index}: {fault}"));
         }
         self.sim.observer.borrow_mut().exited(index);
         self.ended.borrow_mut()[index] = true;
@@ -397,14 +414,14 @@
         if self.ended.borrow()[index] {
             return;
         }
-        self.sim.observer.borrow_mut().told_to_stop(index);
+        self.sim.observer.borrow_mut().stop_requested(index);
         self.sim.signal(id, Signal::Terminate);
         let seen = self.draw(STOP_SEEN);
-        self.after(seen, move |world| world.front.proxies.borrow_mut()[index].2 = false);
+        self.after(seen, move |world| world.proxy_selector.proxies.borrow_mut()[index].2 = false);
         let longest = (self.script.contract.deadline_ms * 1_000).min(3_000_000);
         self.after(longest + KILL_SLACK, move |world| {
             if world.sim.observer.borrow().process_of(index) == id && !world.ended.borrow()[index] {
-                world.sim.observer.borrow_mut().overdue(index);
+                world.sim.observer.borrow_mut().exit_overdue(index);
                 world.kill_proxy(index);
             }
         });
@@ -417,24 +434,24 @@
         let seen = self.draw(DEAD_SEEN);
         self.after(seen, move |world| {
             if world.ended.borrow()[index] {
-                world.front.proxies.borrow_mut()[index].2 = false;
+                world.proxy_selector.proxies.borrow_mut()[index].2 = false;
             }
         });
     }
 
-    fn start_submitters(self: &Rc<Self>) -> Vec<Rc<Submitter>> {
-        let mut submitters = Vec::new();
-        for (index, spec) in self.script.submitters.iter().enumerate() {
+    fn start_clients(self: &Rc<Self>) -> Vec<Rc<Client>> {
+        let mut clients = Vec::new();
+        for (index, spec) in self.script.clients.iter().enumerate() {
             let address = IpAddr::V4(Ipv4Addr::new(10, 4, (index >> 8) as u8, index as u8));
             let name = format!("submitter {index}");
-            let (id, host) = self.sim.start(Start::plain(&name, spec.zone, address));
-            let role = Role::Submitter { index, bad: spec.bad.is_some(), slow: spec.reads_ms.is_some() };
-            self.sim.observer.borrow_mut().enroll(id, role, &name);
-            let submitter = Rc::new(Submitter {
+            let (id, host) = self.sim.start(ProcessOptions::plain(&name, spec.zone, address));
+            let role = Role::Client { index, bad: spec.bad.is_some(), slow: spec.reads_ms.is_some() };
+            self.sim.observer.borrow_mut().register_process(id, role, &name);
+            let client = Rc::new(Client {
                 spec: spec.clone(),
                 index,
                 host: host.clone(),
-                front: self.front.clone(),
+                proxy_selector: self.proxy_selector.clone(),
                 // By its key, so that leaving others out of the script changes nothing here.
                 rng: RefCell::new(stream(self.script.order, &format!("submitter {}", spec.key))),
                 deadline_ms: self.script.contract.deadline_ms,
@@ -442,116 +459,118 @@
                 outcome: RefCell::default(),
                 tries: Cell::new(0),
             });
-            let lives = submitter.clone();
+            let lives = client.clone();
             self.at(spec.at_ms, move |_| drop(host.spawn(lives.live())));
-            submitters.push(submitter);
+            clients.push(client);
         }
-        submitters
+        clients
     }
 
-    fn node_index(&self, name: &str) -> usize {
-        self.script.nodes.iter().position(|node| node.name == name).unwrap_or_default()
+    fn backend_index(&self, name: &str) -> usize {
+        self.script.backends.iter().position(|backend| backend.name == name).unwrap_or_default()
     }
 
     /// The process of an execute node ends; discovery tells of it later, unless it did before.
-    fn stop_node(self: &Rc<Self>, index: usize, tell: bool) {
-        let id = self.nodes.borrow()[index].0;
+    fn stop_backend(self: &Rc<Self>, index: usize, tell: bool) {
+        let id = self.backends.borrow()[index].0;
         self.truth(index, |truth| truth.answers = false);
         self.sim.kill(id);
         if tell {
             let later = self.draw(DEATH_TOLD);
             self.after(later, move |world| {
                 // It may be back by then, which was told already.
-                if world.nodes.borrow()[index].0 == id {
-                    world.book.tell(world.entry(index, "gone", None));
+                if world.backends.borrow()[index].0 == id {
+                    world.endpoint_store.publish(world.entry(index, "gone", None));
                 }
             });
         }
     }
 
     /// It comes back cold under its name.
-    fn restart_node(self: &Rc<Self>, index: usize) {
+    fn restart_backend(self: &Rc<Self>, index: usize) {
         let now = self.sim.now();
-        self.start_node(index, Some(now));
-        let id = self.nodes.borrow()[index].0;
+        self.start_backend(index, Some(now));
+        let id = self.backends.borrow()[index].0;
         let later = self.draw(START_TOLD);
         self.after(later, move |world| {
-            if world.nodes.borrow()[index].0 == id {
-                world.book.tell(world.entry(index, "ready", Some(now)));
+            if world.backends.borrow()[index].0 == id {
+                world.endpoint_store.publish(world.entry(index, "ready", Some(now)));
             }
         });
     }
 
     fn plan(self: Rc<Self>, fault: &Fault) {
         match fault.clone() {
-            Fault::Crash { node, at_ms, until_ms } => {
-                let index = self.node_index(&node);
-                self.at(at_ms, move |world| world.stop_node(index, true));
+            Fault::Crash { node: backend, at_ms, until_ms } => {
+                let index = self.backend_index(&backend);
+                self.at(at_ms, move |world| world.stop_backend(index, true));
                 if let Some(until) = until_ms {
-                    self.at(until, move |world| world.restart_node(index));
+                    self.at(until, move |world| world.restart_backend(index));
                 }
             }
-            Fault::Drain { node, at_ms, stop_ms, until_ms } => {
-                let index = self.node_index(&node);
+            Fault::Drain { node: backend, at_ms, stop_ms, until_ms } => {
+                let index = self.backend_index(&backend);
                 self.at(at_ms, move |world| {
-                    let node = world.nodes.borrow()[index].1.clone();
-                    node.drain();
-                    world.book.tell(world.entry(index, "draining", None));
+                    let backend = world.backends.borrow()[index].1.clone();
+                    backend.drain();
+                    world.endpoint_store.publish(world.entry(index, "draining", None));
                 });
                 self.at(stop_ms, move |world| {
-                    world.stop_node(index, false);
-                    world.book.tell(world.entry(index, "gone", None));
+                    world.stop_backend(index, false);
+                    world.endpoint_store.publish(world.entry(index, "gone", None));
                 });
                 if let Some(until) = until_ms {
-                    self.at(until, move |world| world.restart_node(index));
+                    self.at(until, move |world| world.restart_backend(index));
                 }
             }
-            Fault::Silence { node, at_ms, until_ms, reset } => {
-                let index = self.node_index(&node);
+            Fault::Silence { node: backend, at_ms, until_ms, reset } => {
+                let index = self.backend_index(&backend);
                 self.at(at_ms, move |world| {
-                    let id = world.nodes.borrow()[index].0;
+                    let id = world.backends.borrow()[index].0;
                     world.truth(index, |truth| truth.answers = false);
-                    world.sim.silence(id);
+                    world.sim.partition(id);
                     let later = world.draw(SILENCE_TOLD);
                     world.after(later, move |world| {
                         if !world.truths.borrow()[index].answers {
-                            world.book.tell(world.entry(index, "gone", None));
+                            world.endpoint_store.publish(world.entry(index, "gone", None));
                         }
                     });
                 });
                 self.at(until_ms, move |world| {
-                    let id = world.nodes.borrow()[index].0;
+                    let id = world.backends.borrow()[index].0;
                     world.sim.heal(id, reset);
                     world.truth(index, |truth| truth.answers = true);
                     let later = world.draw(START_TOLD);
                     let since = world.truths.borrow()[index].cold_since;
-                    world.after(later, move |world| world.book.tell(world.entry(index, "ready", since)));
+                    world.after(later, move |world| {
+                        world.endpoint_store.publish(world.entry(index, "ready", since))
+                    });
                 });
             }
-            Fault::Slow { node, at_ms, until_ms, factor } => {
-                let index = self.node_index(&node);
-                self.at(at_ms, move |world| world.weather[index].slow.set(factor));
-                self.at(until_ms, move |world| world.weather[index].slow.set(1.0));
+            Fault::Slow { node: backend, at_ms, until_ms, factor } => {
+                let index = self.backend_index(&backend);
+                self.at(at_ms, move |world| world.degradations[index].slow.set(factor));
+                self.at(until_ms, move |world| world.degradations[index].slow.set(1.0));
             }
-            Fault::Neighbour { node, at_ms, until_ms, share } => {
-                let index = self.node_index(&node);
-                self.at(at_ms, move |world| world.weather[index].neighbour.set(share));
-                self.at(until_ms, move |world| world.weather[index].neighbour.set(0.0));
+            Fault::Neighbour { node: backend, at_ms, until_ms, share } => {
+                let index = self.backend_index(&backend);
+                self.at(at_ms, move |world| world.degradations[index].neighbour.set(share));
+                self.at(until_ms, move |world| world.degradations[index].neighbour.set(0.0));
             }
             Fault::LateReports { at_ms, until_ms, by_ms } => {
                 self.at(at_ms, move |world| world.late.set(by_ms * 1_000));
                 self.at(until_ms, move |world| world.late.set(0));
             }
             Fault::DiscoveryLate { at_ms, until_ms, by_ms } => {
-                self.at(at_ms, move |world| world.book.late.set(by_ms * 1_000));
-                self.at(until_ms, move |world| world.book.late.set(0));
+                self.at(at_ms, move |world| world.endpoint_store.late.set(by_ms * 1_000));
+                self.at(until_ms, move |world| world.endpoint_store.late.set(0));
             }
             Fault::DiscoveryFails { at_ms, until_ms } => {
-                self.at(at_ms, move |world| world.book.failing.set(true));
-                self.at(until_ms, move |world| world.book.failing.set(false));
+                self.at(at_ms, move |world| world.endpoint_store.failing.set(true));
+                self.at(until_ms, move |world| world.endpoint_store.failing.set(false));
             }
             Fault::DiscoveryCut { at_ms, until_ms } => {
-                self.at(at_ms, move |world| world.sim.silence(world.discovery.get()));
+                self.at(at_ms, move |world| world.sim.partition(world.discovery.get()));
                 self.at(until_ms, move |world| world.sim.heal(world.discovery.get(), true));
             }
             Fault::DiscoveryDown { at_ms, until_ms } => {
@@ -594,7 +613,7 @@
             let id = self.sim.observer.borrow().process_of(index);
             let process = self.sim.net.borrow().process(id).clone();
             process.files.borrow_mut().insert(CONFIG.into(), self.config(index).into_bytes());
-            self.sim.observer.borrow_mut().told_to_reload(index);
+            self.sim.observer.borrow_mut().reload_requested(index);
             self.sim.signal(id, Signal::Hangup);
         }
     }
@@ -609,20 +628,24 @@
             let held = self.sim.observer.borrow().still_held(index);
             let (tasks, descriptors) = (self.sim.tasks_of(id), self.sim.descriptors_of(id));
             // Listener, spare, discovery, one kept connection for probes of each execute node and one on its way.
-            let most = 4 + 2 * self.script.nodes.len();
+            let most = 4 + 2 * self.script.backends.len();
             // The proxy itself, six tasks that last, the connection to discovery, and probes on their way.
-            let most_tasks = 10 + self.script.nodes.len();
+            let most_tasks = 10 + self.script.backends.len();
             let mut observer = self.sim.observer.borrow_mut();
             if held > 0 {
-                observer
-                    .saw(Rule::LeftOver, format!("proxy {index} holds {held} connections of the departed"));
+                observer.report_violation(
+                    Rule::LeftOver,
+                    format!("proxy {index} holds {held} connections of the departed"),
+                );
             }
             if descriptors > most {
-                observer
-                    .saw(Rule::LeftOver, format!("proxy {index} holds {descriptors} descriptors at rest"));
+                observer.report_violation(
+                    Rule::LeftOver,
+                    format!("proxy {index} holds {descriptors} descriptors at rest"),
+                );
             }
             if tasks > most_tasks {
-                observer.saw(Rule::LeftOver, format!("proxy {index} has {tasks} tasks at rest"));
+                observer.report_violation(Rule::LeftOver, format!("proxy {index} has {tasks} tasks at rest"));
             }
         }
     }
@@ -638,7 +661,7 @@
         for index in 0..self.script.proxies.len() {
             if !self.ended.borrow()[index] {
                 let what = format!("proxy {index} waits for jobs that are not there");
-                self.sim.observer.borrow_mut().saw(Rule::LeftOver, what);
+                self.sim.observer.borrow_mut().report_violation(Rule::LeftOver, what);
             }
         }
         rested && self.sim.run_until(now + longest + KILL_SLACK + 100_000)
@@ -649,17 +672,18 @@
         let all = self.sim.processes();
         (0..all).for_each(|id| self.sim.kill(id));
         self.sim.clear();
-        self.nodes.borrow_mut().clear();
+        self.backends.borrow_mut().clear();
         self.service.borrow_mut().take();
     }
 }
 
 /// The host of a world of its own, to try something small on a virtual clock.
-pub fn alone(seed: u64) -> (Rc<Sim>, Host) {
-    let links = Links { same: 100, cross: 1_000, jitter: 0.0, window: 65_536, partial: 0.0, lossy: 0.0 };
-    let cold = ColdRule { from: 0.3, warm: 9_000_000, multiple: 4.0, fall: 1_500_000 };
+pub fn single_process(seed: u64) -> (Rc<Sim>, Host) {
+    let links =
+        LinkConditions { same: 100, cross: 1_000, jitter: 0.0, window: 65_536, partial: 0.0, lossy: 0.0 };
+    let cold = SlowStartRule { from: 0.3, warm: 9_000_000, multiple: 4.0, fall: 1_500_000 };
     let observer = Observer::new(0, &[], cold, Trace::None);
     let sim = Sim::new(seed, Net::new(links, stream(seed, "links")), observer);
-    let (_, host) = sim.start(Start::plain("alone", 0, IpAddr::V4(Ipv4Addr::new(10, 9, 0, 1))));
+    let (_, host) = sim.start(ProcessOptions::plain("alone", 0, IpAddr::V4(Ipv4Addr::new(10, 9, 0, 1))));
     (sim, host)
 }
--- a/crates/world/src/script.rs
+++ b/crates/world/src/script.rs
@@ -26,10 +26,10 @@
     pub proxies: Vec<ProxySpec>,
     /// The execute nodes.
     #[serde(rename = "node")]
-    pub nodes: Vec<NodeSpec>,
+    pub backends: Vec<BackendSpec>,
     /// The submitters.
     #[serde(rename = "submitter", default)]
-    pub submitters: Vec<SubmitterSpec>,
+    pub clients: Vec<ClientSpec>,
     /// What goes wrong.
     #[serde(rename = "fault", default)]
     pub faults: Vec<Fault>,
@@ -91,7 +91,7 @@
 /// One execute node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct NodeSpec {
+pub struct BackendSpec {
     /// Its name, the same when it comes back.
     pub name: String,
     /// Its zone; 0 to 2.
@@ -122,7 +122,7 @@
 /// One submitter.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct SubmitterSpec {
+pub struct ClientSpec {
     /// When it comes; milliseconds.
     pub at_ms: u64,
     /// Its zone; 0 to 2.
@@ -140,7 +140,7 @@
     pub retries: u32,
     /// It keeps no protocol, in this way.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub bad: Option<Bad>,
+    pub bad: Option<Misbehavior>,
     /// It leaves without waiting, this long after it opened its job; milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub leaves_ms: Option<u64>,
@@ -155,7 +155,7 @@
 /// The ways of the bad submitters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Bad {
+pub enum Misbehavior {
     /// Says nothing.
     Silent,
     /// Bytes that are no line.
@@ -177,16 +177,16 @@
 }
 
 /// All of them.
-pub const BAD: [Bad; 9] = [
-    Bad::Silent,
-    Bad::Garbage,
-    Bad::NoEnd,
-    Bad::WrongClass,
-    Bad::WrongDeadline,
-    Bad::NoId,
-    Bad::Half,
-    Bad::Commands,
-    Bad::Huge,
+pub const ALL_MISBEHAVIORS: [Misbehavior; 9] = [
+    Misbehavior::Silent,
+    Misbehavior::Garbage,
+    Misbehavior::NoEnd,
+    Misbehavior::WrongClass,
+    Misbehavior::WrongDeadline,
+    Misbehavior::NoId,
+    Misbehavior::Half,
+    Misbehavior::Commands,
+    Misbehavior::Huge,
 ];
 
 /// What goes wrong, and when. Times are virtual milliseconds from the start of the run.
@@ -341,13 +341,13 @@
     }
 
     /// The execute node that it names.
-    pub fn node(&self) -> Option<&str> {
+    pub fn backend(&self) -> Option<&str> {
         match self {
-            Fault::Crash { node, .. }
-            | Fault::Drain { node, .. }
-            | Fault::Silence { node, .. }
-            | Fault::Slow { node, .. }
-            | Fault::Neighbour { node, .. } => Some(node),
+            Fault::Crash { node: backend, .. }
+            | Fault::Drain { node: backend, .. }
+            | Fault::Silence { node: backend, .. }
+            | Fault::Slow { node: backend, .. }
+            | Fault::Neighbour { node: backend, .. } => Some(backend),
             _ => None,
         }
     }
@@ -430,33 +430,33 @@
         top((0.01..=1.0).contains(&self.contract.cold_from), "cold_from", "not within 0.01 to 1")?;
         top(self.contract.deadline_ms >= 100, "deadline_ms", "under 100")?;
         top(!self.proxies.is_empty(), "proxy", "there is none")?;
-        top(!self.nodes.is_empty(), "node", "there is none")?;
+        top(!self.backends.is_empty(), "node", "there is none")?;
         for (i, proxy) in self.proxies.iter().enumerate() {
             if proxy.zone > 2 {
                 return Err(("proxy", i, "zone", format!("{} is not within 0 to 2", proxy.zone)));
             }
         }
-        for (i, node) in self.nodes.iter().enumerate() {
-            if node.zone > 2 {
-                return Err(("node", i, "zone", format!("{} is not within 0 to 2", node.zone)));
+        for (i, backend) in self.backends.iter().enumerate() {
+            if backend.zone > 2 {
+                return Err(("node", i, "zone", format!("{} is not within 0 to 2", backend.zone)));
             }
-            if !(0.01..=100.0).contains(&node.speed) {
-                return Err(("node", i, "speed", format!("{} is not within 0.01 to 100", node.speed)));
+            if !(0.01..=100.0).contains(&backend.speed) {
+                return Err(("node", i, "speed", format!("{} is not within 0.01 to 100", backend.speed)));
             }
-            if self.nodes[..i].iter().any(|other| other.name == node.name) {
-                return Err(("node", i, "name", format!("{} is there twice", node.name)));
+            if self.backends[..i].iter().any(|other| other.name == backend.name) {
+                return Err(("node", i, "name", format!("{} is there twice", backend.name)));
             }
         }
-        for (i, submitter) in self.submitters.iter().enumerate() {
-            if submitter.zone > 2 {
-                return Err(("submitter", i, "zone", format!("{} is not within 0 to 2", submitter.zone)));
+        for (i, client) in self.clients.iter().enumerate() {
+            if client.zone > 2 {
+                return Err(("submitter", i, "zone", format!("{} is not within 0 to 2", client.zone)));
             }
         }
         for (i, fault) in self.faults.iter().enumerate() {
-            if let Some(node) =
-                fault.node().filter(|node| self.nodes.iter().all(|other| other.name != **node))
+            if let Some(backend) =
+                fault.backend().filter(|backend| self.backends.iter().all(|other| other.name != **backend))
             {
-                return Err(("fault", i, "node", format!("there is no execute node {node}")));
+                return Err(("fault", i, "node", format!("there is no execute node {backend}")));
             }
             if let Some(proxy) = fault.proxy().filter(|&proxy| proxy >= self.proxies.len()) {
                 return Err(("fault", i, "proxy", format!("there is no proxy {proxy}")));
--- a/crates/world/src/sim.rs
+++ b/crates/world/src/sim.rs
@@ -199,7 +199,7 @@
     }
 
     fn advance(&self, to: Micros) {
-        self.observer.borrow_mut().until(to);
+        self.observer.borrow_mut().advance_to(to);
         self.now.set(to);
     }
 
