--- a/crates/decision/src/fair_share.rs
+++ b/crates/decision/src/fair_share.rs
@@ -89,7 +89,7 @@
         let part = self.weight(i) * SLOW_START_UTILIZATION / self.admission.capacity.max(f64::MIN_POSITIVE);
         // All relays together send a cold backend a connection in two windows, whatever was seen before.
         let least = 0.5 / (fall * f64::from(self.settings.proxies)).max(1e-3);
-        let seen = self.set_ups as f64 / age * part * share * self.settings.overload_multiple;
+        let seen = self.setups as f64 / age * part * share * self.settings.overload_multiple;
         let rate = self.slow_start_refill(i, share, seen.max(least) * fall) / fall;
         let (window, passed) = (rate * fall, now.saturating_sub(self.backends[i].tokens_at) as f64 / 1e6);
         (self.backends[i].tokens + rate * passed).min(window.max((window * SAVED_WINDOWS).min(1.0)))
@@ -111,7 +111,7 @@
         let (all, size) = (rooms.iter().sum::<f64>(), among.iter().map(|&i| self.weight(i)).sum::<f64>());
         let holds = self.ready().map(|i| self.weight(i)).sum::<f64>() * self.unit_holds();
         let age = now.saturating_sub(self.started.unwrap_or(now)) as f64 / 1e6;
-        let life = life(f64::from(self.total.open), self.set_ups as f64, age);
+        let life = life(f64::from(self.total.open), self.setups as f64, age);
         let seen = self.accepted.iter().rev().take_while(|&&at| at + SEEN > now).count().saturating_sub(1);
         // A group costs a backend one mean load more, whatever comes of it.
         let loads = if self.settings.groups { 2.0 } else { 1.0 };
--- a/crates/decision/src/learned_state.rs
+++ b/crates/decision/src/learned_state.rs
@@ -93,7 +93,7 @@
         };
         LearnedState {
             since: self.started,
-            set_ups: self.set_ups,
+            set_ups: self.setups,
             width: self.admission.width,
             bins: self.admission.bins.clone(),
             least_delay: finite(self.admission.least_delay),
@@ -108,7 +108,7 @@
     /// Goes on with what another learned, for the backends that a list named here.
     pub(crate) fn restore_learned_state(&mut self, learned: LearnedState) {
         self.started = learned.since.or(self.started);
-        self.set_ups += learned.set_ups;
+        self.setups += learned.set_ups;
         self.slow_start_slots = learned.slow_start_slots.into();
         // Guards against an old list that counts as told anew because another process holds it.
         self.freshness.updated_at = learned.updated_at.unwrap_or(self.freshness.updated_at);
--- a/crates/decision/src/state.rs
+++ b/crates/decision/src/state.rs
@@ -127,7 +127,7 @@
     }
 
     /// A process that started then: nothing of its cold budget is saved yet.
-    pub fn start(&mut self, started: Micros, now: Micros) {
+    pub fn record_start(&mut self, started: Micros, now: Micros) {
         (self.started, self.tokens, self.tokens_at, self.all_connections_lost) = (started, 0.0, now, false);
         self.planned_start = false;
     }
@@ -135,14 +135,14 @@
     /// When a process started that the list newly tells of, by our clock. The clock that it is told by may be another
     /// one than ours, and either may be wrong: it started before now, and not before the list that did not tell of it
     /// yet. One that we saw to be new before the list told is the same.
-    fn told_start(&mut self, told: Micros, now: Micros, listed_at: Option<Micros>) -> Micros {
+    fn estimate_start(&mut self, told: Micros, now: Micros, listed_at: Option<Micros>) -> Micros {
         let earliest = if std::mem::take(&mut self.restart_observed) { None } else { listed_at };
         told.max(earliest.unwrap_or(0).saturating_sub(LATENESS)).min(now)
     }
 
     /// A new process: old evidence is void.
-    pub fn renew(&mut self, started: Micros, now: Micros) {
-        self.start(started, now);
+    pub fn reset_for_new_process(&mut self, started: Micros, now: Micros) {
+        self.record_start(started, now);
         (self.failures, self.load_limit) = (0.0, f64::INFINITY);
     }
 
@@ -241,7 +241,7 @@
     /// Keys placed lately: when they were last set up or ended, and their load then, where known.
     pub(crate) recent_keys: BTreeMap<u64, (Micros, Option<f64>)>,
     /// Connections set up since the start.
-    pub(crate) set_ups: u64,
+    pub(crate) setups: u64,
     /// Turns at cold backends that were spent in the last window, and when.
     pub(crate) slow_start_slots: VecDeque<(Micros, f64)>,
     /// Requests without an attempt out, in order of arrival.
@@ -277,7 +277,7 @@
     pub fn backend_counts(&self, now: Micros) -> (usize, usize) {
         let listed = |i: &usize| self.backends[*i].member.state != MemberState::Gone;
         let listed: Vec<usize> = (0..self.backends.len()).filter(listed).collect();
-        let avoided = listed.iter().filter(|&&i| self.excluded(i) || self.suspect(i, now));
+        let avoided = listed.iter().filter(|&&i| self.excluded(i) || self.is_suspect(i, now));
         (listed.len(), avoided.count())
     }
 
@@ -301,7 +301,7 @@
     }
 
     /// One of those by chance, as its size is of the sum of theirs; none of none, and no chance is used up.
-    pub(crate) fn draw(&mut self, among: &[usize], sum: f64) -> Option<usize> {
+    pub(crate) fn draw_by_weight(&mut self, among: &[usize], sum: f64) -> Option<usize> {
         among.first()?;
         let mut at = self.rng.f64() * sum;
         among.iter().copied().find(|&i| {
@@ -322,7 +322,7 @@
     }
 
     /// Enters the answer to a probe, or that none came, and the load that it told.
-    pub(crate) fn enter_report(&mut self, now: Micros, i: usize, answered: bool, load: Option<f64>) {
+    pub(crate) fn record_report(&mut self, now: Micros, i: usize, answered: bool, load: Option<f64>) {
         let reported = self.estimate_load(&self.backends[i].own_load);
         let backend = &mut self.backends[i];
         (backend.report, backend.load_at_report) = (Some((now, load.filter(|_| answered))), reported);
@@ -336,7 +336,7 @@
 
     /// The load that it reported, with what we added or took away since where that is asked for; `None` where
     /// no fresh report tells.
-    pub(crate) fn expected(&self, i: usize, now: Micros, age: Micros, since: bool) -> Option<f64> {
+    pub(crate) fn fresh_load(&self, i: usize, now: Micros, age: Micros, since: bool) -> Option<f64> {
         let backend = &self.backends[i];
         let added =
             (self.estimate_load(&backend.own_load) - backend.load_at_report) / self.current_capacity(i, now);
@@ -364,7 +364,7 @@
     }
 
     /// Keeps a request without an attempt out.
-    pub(crate) fn keep_held(&mut self, state: RequestState) {
+    pub(crate) fn hold_request(&mut self, state: RequestState) {
         self.held.push(state.request.id);
         self.requests.insert(state.request.id, state);
     }
@@ -455,7 +455,7 @@
     }
 
     /// Enters since when each backend is withdrawn; those that now are.
-    pub(crate) fn withdraw(&mut self, now: Micros) -> Vec<usize> {
+    pub(crate) fn update_withdrawn(&mut self, now: Micros) -> Vec<usize> {
         let mut withdrawn = Vec::new();
         for (i, backend) in self.backends.iter_mut().enumerate() {
             if backend.ready() {
@@ -478,7 +478,7 @@
     }
 
     /// The loads of those standing at a backend, the heaviest first.
-    pub(crate) fn heaviest(&self, i: usize) -> Vec<(f64, RequestId)> {
+    pub(crate) fn heaviest_first(&self, i: usize) -> Vec<(f64, RequestId)> {
         let requests = self.backends[i].established.iter().filter_map(|id| self.requests.get(id));
         let mut requests: Vec<_> =
             requests.map(|state| (self.request_load(state), state.request.id)).collect();
@@ -519,9 +519,9 @@
             MemberState::Gone => {}
         }
         if member.started > 0 && (new || member.started != told_before) {
-            let started = backend.told_start(member.started, now, listed_at);
+            let started = backend.estimate_start(member.started, now, listed_at);
             if started > backend.started {
-                backend.renew(started, now);
+                backend.reset_for_new_process(started, now);
                 backend.planned_start = planned;
             }
         }
@@ -548,7 +548,7 @@
             return self.backends[i].maintenance_since = now;
         }
         let told = Some(self.backends[i].started).filter(|&at| at > self.backends[i].maintenance_since);
-        self.backends[i].renew(told.unwrap_or(now), now);
+        self.backends[i].reset_for_new_process(told.unwrap_or(now), now);
         self.backends[i].restart_observed = told.is_none();
         (self.backends[i].planned_start, self.backends[i].returned_to_service) = (true, true);
         let share = self.slow_start_share(i, now).unwrap_or(1.0);
@@ -595,7 +595,7 @@
 
     /// Enters how long a set-up took at a backend; the part of it that the quickest one did not take.
     pub(crate) fn record_setup_latency(&mut self, i: usize, latency: Micros) -> Micros {
-        self.set_ups += 1;
+        self.setups += 1;
         let least = &mut self.backends[i].min_setup_latency;
         *least = latency.min(*least);
         latency - *least
@@ -704,7 +704,7 @@
             total: LoadEstimate::default(),
             requests: BTreeMap::new(),
             recent_keys: BTreeMap::new(),
-            set_ups: 0,
+            setups: 0,
             slow_start_slots: VecDeque::new(),
             held: Vec::new(),
             move_queue: VecDeque::new(),
