--- a/crates/decision/src/state.rs
+++ b/crates/decision/src/state.rs
@@ -1,4 +1,4 @@
-//! What the decision module keeps books of. Nothing here decides.
+//! The state of the decision module and the methods that record events in it. Decisions are made in `logic`.
 
 use crate::admission::Admission;
 use crate::api::*;
@@ -8,78 +8,91 @@
 use crate::table::Table;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Timer tokens: learning tick, look at the held requests, renewed subscription, moves, watching probes.
+/// Timer tokens: the admission tick, due held requests, the subscribe call, a batch of moves, and the probes
+/// of backends in use.
 pub(crate) const TIMER_ADMISSION: u64 = 0;
 pub(crate) const TIMER_HELD_REQUESTS: u64 = 1;
 pub(crate) const TIMER_SUBSCRIBE: u64 = 2;
 pub(crate) const TIMER_MOVES: u64 = 3;
 pub(crate) const TIMER_PROBES: u64 = 4;
 
-/// A withdrawn backend keeps its entries this long unheard of, where removal does not bind; microseconds.
-const WITHDRAWN_MEMORY: Micros = 30_000_000;
-/// Entries stay until a size has moved by this factor: late weights swing by less; no unit.
-const SIZE_SLACK: f64 = 1.1;
-
-/// A list may tell of a start so long after it; microseconds. Where a clock is wrong, a backend counts as that much
-/// warmer than it is at most: a third to a half of its capacity in a warm-up of nine seconds, within what
-/// [`crate::logic::SLOW_START_UTILIZATION`] leaves.
-const LATENESS: Micros = 2_000_000;
-/// Part of the cold budget where it is saved: what one window left and what the next brings may come in one.
-const BUCKET_PART: f64 = 0.5;
-
-/// What is known of one backend.
+/// Where the removal of a backend need not be obeyed, a withdrawn backend that does not answer stays in the
+/// table this long.
+const WITHDRAWN_RETENTION_US: Micros = 30_000_000;
+/// The table is rebuilt when a weight changes by more than this factor. Late weights vary by less.
+const WEIGHT_CHANGE_FACTOR: f64 = 1.1;
+
+/// Longest delay with which endpoints report a start. With a wrong clock, a backend counts as further in its
+/// slow start by at most this: a third to a half of its capacity in a slow start of nine seconds. That is
+/// within what [`crate::logic::SLOW_START_UTILIZATION`] leaves.
+const MAX_START_REPORT_DELAY_US: Micros = 2_000_000;
+/// Share of the slow-start budget that is used where tokens are saved: what one window leaves and what the
+/// next adds may be spent in one.
+const TOKEN_BUCKET_SHARE: f64 = 0.5;
+
+/// State of one backend.
 pub(crate) struct Backend {
+    /// Its entry in the endpoints, as last reported.
     pub member: Member,
-    /// Size that its table entries go by.
+    /// Weight of its entries in the current table; 0 while it has none.
     pub table_weight: f64,
-    /// Attempts out and connections standing, ours.
+    /// Load of this proxy there: attempts in progress and established connections.
     pub own_load: LoadEstimate,
-    /// Connections standing, ours.
+    /// Established connections of this proxy there.
     pub established: BTreeSet<RequestId>,
-    /// Load of ours at which it was last slow or shed, less a cut; infinite before.
+    /// Own load at which it was last slow or shed, less a cut; infinite before that.
     pub load_limit: f64,
+    /// When that limit was last lowered; 0 for never.
     pub load_limit_cut_at: Micros,
-    /// Nothing new before this time, as it was slow or shed a connection.
+    /// No new connections before this time, as it was slow or shed a connection; 0 for never.
     pub slow_until: Micros,
-    /// When a report was last asked for, and the last one: when it came and the load in it.
+    /// When the last probe for a report was sent; 0 for never.
     pub probed_at: Micros,
-    /// `None` in place of a load: probing failed, or told none.
+    /// When the last probe's result came, and the load reported, as a share of its capacity. The load is
+    /// `None` if the probe failed or reported none. `None` before the first result.
     pub report: Option<(Micros, Option<f64>)>,
-    /// Load of ours when it came; and until when reports tell of a time before we last shed there.
+    /// Own load when that result came.
     pub load_at_report: f64,
+    /// Until when reports describe a time before the last shedding there; 0 before any.
     pub shed_until: Micros,
-    /// Failures of late, fading, as they stood at that time.
+    /// Decaying number of failures, as of `failed_at`.
     pub failures: f64,
+    /// When `failures` last changed; 0 for never.
     pub failed_at: Micros,
+    /// Earliest time of the next trial while it is suspect or unverified; 0 before any attempt.
     pub trial_at: Micros,
-    /// Only the list speaks for it, or against it: nothing of ours was answered there since.
+    /// Known or withdrawn only by the endpoints: nothing of this proxy was answered there since.
     pub unverified: bool,
-    /// Probes sent since it was last tried with a request, while unproven.
+    /// Probes sent since a request last tried it, while unverified.
     pub verification_probes: u32,
-    /// Seen draining and not listed ready since.
+    /// Reported as draining, and not as ready since.
     pub drained: bool,
-    /// Staff withhold it, and since when.
+    /// Operators put it into maintenance.
     pub in_maintenance: bool,
+    /// When operators last put it into maintenance; the time of its first listing before that.
     pub maintenance_since: Micros,
-    /// Staff gave it back, and nothing was sent there since.
+    /// Operators returned it from maintenance, and no attempt was sent there since.
     pub returned_to_service: bool,
-    /// The process that runs there now was started as planned: after a drain, by staff, or on a new machine.
+    /// Its current process started as planned: after a drain or maintenance, or on a new host.
     pub planned_start: bool,
-    /// The quickest set-up there: what is left of a set-up without waiting.
+    /// Shortest setup time there, taken as that of a setup without waiting; `Micros::MAX` before any.
     pub min_setup_latency: Micros,
-    /// When the list withdrew it; in the far future while ready.
+    /// When the endpoints withdrew it; `Micros::MAX` while it is ready.
     pub withdrawn_at: Micros,
-    /// Every connection of ours there broke, the last one too, and none was made since.
+    /// All connections of this proxy there broke, and none was established since.
     pub all_connections_lost: bool,
-    /// Start of its process as listed or observed, by our clock; 0 for long ago.
+    /// When its process started, as reported or observed, by the clock of this proxy; 0 for long ago.
     pub started: Micros,
-    /// It was observed, and no list told of it yet.
+    /// That start was observed, and no endpoint update has reported it yet.
     pub restart_observed: bool,
+    /// Slow-start tokens, as of `tokens_at`: connections that this proxy may open there.
     pub tokens: f64,
+    /// When `tokens` last changed.
     pub tokens_at: Micros,
 }
 
 impl Backend {
+    /// A backend that the endpoints name for the first time.
     pub fn new(member: &Member, now: Micros) -> Self {
         Backend {
             member: member.clone(),
@@ -113,12 +126,12 @@
         }
     }
 
-    /// The load it reported, if an answer came less than `age` ago; the inner `None` where that told none.
+    /// The load that it reported less than `age` ago. The inner `None`: that result reported no load.
     pub fn report(&self, now: Micros, age: Micros) -> Option<Option<f64>> {
         self.report.filter(|(at, _)| now < at + age).map(|(_, load)| load)
     }
 
-    /// Its failures as they stand now, faded by half in each half-life of that many seconds.
+    /// Its failures as of `now`, decayed by half in each `half_life` (in seconds).
     pub fn failures(&self, now: Micros, half_life: f64) -> f64 {
         if self.failures == 0.0 {
             return 0.0;
@@ -126,32 +139,32 @@
         self.failures * (-(now.saturating_sub(self.failed_at) as f64) / 1e6 / half_life).exp2()
     }
 
-    /// A process that started then: nothing of its cold budget is saved yet.
+    /// Records the start of its process. No slow-start tokens are saved yet.
     pub fn record_start(&mut self, started: Micros, now: Micros) {
         (self.started, self.tokens, self.tokens_at, self.all_connections_lost) = (started, 0.0, now, false);
         self.planned_start = false;
     }
 
-    /// When a process started that the list newly tells of, by our clock. The clock that it is told by may be another
-    /// one than ours, and either may be wrong: it started before now, and not before the list that did not tell of it
-    /// yet. One that we saw to be new before the list told is the same.
-    fn estimate_start(&mut self, told: Micros, now: Micros, listed_at: Option<Micros>) -> Micros {
+    /// Estimates when a newly reported process started, by the clock of this proxy. The reported time may
+    /// come from another clock, and either clock may be wrong. The process started before now, and not before
+    /// the update that did not report it yet. A restart observed before it was reported is the same one.
+    fn estimate_start(&mut self, reported: Micros, now: Micros, listed_at: Option<Micros>) -> Micros {
         let earliest = if std::mem::take(&mut self.restart_observed) { None } else { listed_at };
-        told.max(earliest.unwrap_or(0).saturating_sub(LATENESS)).min(now)
+        reported.max(earliest.unwrap_or(0).saturating_sub(MAX_START_REPORT_DELAY_US)).min(now)
     }
 
-    /// A new process: old evidence is void.
+    /// Records a new process: what was observed of the old one no longer counts.
     pub fn reset_for_new_process(&mut self, started: Micros, now: Micros) {
         self.record_start(started, now);
         (self.failures, self.load_limit) = (0.0, f64::INFINITY);
     }
 
-    /// Whether the list calls it ready, and staff do not withhold it.
+    /// Whether the endpoints call it ready, and it is not in maintenance.
     pub fn ready(&self) -> bool {
         self.member.state == MemberState::Ready && !self.in_maintenance
     }
 
-    /// Whether it drains or is withheld, so that the rules bar what is new.
+    /// Whether it drains or is in maintenance, so that the rules bar new attempts.
     pub fn out_of_service(&self) -> bool {
         self.drained || self.in_maintenance
     }
@@ -160,45 +173,52 @@
 /// A number of connections and what is known of their load.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct LoadEstimate {
+    /// Number of connections.
     pub open: u32,
-    /// Sum of the known loads; microseconds of work a second.
+    /// Sum of the known loads, in microseconds of work a second.
     pub known_load: f64,
-    /// Connections of unknown load.
+    /// Number of connections of unknown load.
     pub unknown_count: u32,
 }
 
 impl LoadEstimate {
-    /// Enters a connection of that load, or takes it out.
-    pub fn update(&mut self, load: Option<f64>, enter: bool) {
-        let step = |n: u32| if enter { n + 1 } else { n.saturating_sub(1) };
+    /// Adds a connection of that load, or removes it.
+    pub fn update(&mut self, load: Option<f64>, add: bool) {
+        let step = |n: u32| if add { n + 1 } else { n.saturating_sub(1) };
         self.open = step(self.open);
         match load {
-            Some(load) => self.known_load = (self.known_load + if enter { load } else { -load }).max(0.0),
+            Some(load) => self.known_load = (self.known_load + if add { load } else { -load }).max(0.0),
             None => self.unknown_count = step(self.unknown_count),
         }
     }
 }
 
-/// A request in hand.
+/// State of a request that is not finished.
 pub(crate) struct RequestState {
+    /// The request itself.
     pub request: Request,
+    /// Number of attempts sent.
     pub attempts: u32,
-    /// Backend of the attempt that is out, when it was sent and when it is given up.
+    /// Index of the backend of the attempt in progress, when it was sent, and when it times out.
     pub current_attempt: Option<(usize, Micros, Micros)>,
+    /// Indices of the backends not to be picked again, as they were tried; emptied when the request is held.
     pub tried: Vec<usize>,
-    /// First attempt that may have run: its backend and when it was sent.
+    /// First attempt that may have run: the index of its backend, and when it was sent.
     pub may_have_run: Option<(usize, Micros)>,
+    /// The connection of the current attempt is established.
     pub established: bool,
+    /// The client has its final answer, or is gone.
     pub answered: bool,
-    /// While held: when the event is due that it waits for.
+    /// When to place it again while it is held; 0 before it was ever held.
     pub retry_at: Micros,
-    /// Its load, where noted or hinted; microseconds of work a second.
+    /// Its load, where measured or hinted, in microseconds of work a second.
     pub load: Option<f64>,
-    /// The load of the connection of that key before this one, where known.
+    /// Load of the previous connection of its key, where known; same unit.
     pub previous_load: Option<f64>,
 }
 
 impl RequestState {
+    /// A request without any attempt.
     pub fn new(request: Request) -> Self {
         RequestState {
             attempts: 0,
@@ -215,65 +235,77 @@
     }
 }
 
-/// One relay's decisions: a state machine without I/O.
+/// Decisions of one proxy: a state machine without I/O.
 pub struct Balancer {
+    /// The settings, unchanged since the start.
     pub(crate) settings: Settings,
+    /// Class of requests whose class the settings do not describe.
     pub(crate) unknown_class: Class,
-    /// The shortest aim of messages, 0 where none is stated; microseconds.
+    /// Shortest message target of all classes, in microseconds; 0 if none is stated.
     pub(crate) message_target: f64,
-    /// Bound on further attempts.
+    /// Bound on retries.
     pub(crate) budget: RetryBudget,
+    /// Random number generator of the decisions, from `seed`.
     pub(crate) rng: fastrand::Rng,
-    /// What its chance comes from: another one at each relay.
+    /// Seed of all random draws; another one at each proxy.
     pub(crate) seed: u64,
+    /// When the first event came; `None` before.
     pub(crate) started: Option<Micros>,
+    /// All backends ever reported. Their position is the index `i` used throughout.
     pub(crate) backends: Vec<Backend>,
+    /// Index of each backend, by its identity.
     pub(crate) index: BTreeMap<BackendId, usize>,
-    /// Backends that staff withhold, listed or not.
+    /// Backends in maintenance, whether the endpoints name them or not.
     pub(crate) backends_in_maintenance: BTreeSet<BackendId>,
+    /// Lookup table of the placement.
     pub(crate) table: Table,
-    /// The set of ready backends differs from that of the table.
+    /// The backends or their weights differ from those of the table.
     pub(crate) table_stale: bool,
-    /// All our open connections.
+    /// Load of this proxy at all backends.
     pub(crate) total: LoadEstimate,
+    /// State of the admission control.
     pub(crate) admission: Admission,
+    /// Requests with an attempt in progress or an established connection, and held requests.
     pub(crate) requests: BTreeMap<RequestId, RequestState>,
-    /// Keys placed lately: when they were last set up or ended, and their load then, where known.
+    /// Recently placed keys: when their connection was last established or ended, and its load then, where
+    /// known, in microseconds of work a second.
     pub(crate) recent_keys: BTreeMap<u64, (Micros, Option<f64>)>,
-    /// Connections set up since the start.
+    /// Connections established since the start.
     pub(crate) setups: u64,
-    /// Turns at cold backends that were spent in the last window, and when.
+    /// Slow-start slots spent in the last window: when, and how much of one.
     pub(crate) slow_start_slots: VecDeque<(Micros, f64)>,
-    /// Requests without an attempt out, in order of arrival.
+    /// Held requests without an attempt in progress, in order of arrival.
     pub(crate) held: Vec<RequestId>,
-    /// Standing connections to be moved off backends that leave, in order.
+    /// Established connections to be moved off backends out of service, in order.
     pub(crate) move_queue: VecDeque<RequestId>,
-    /// When a note last told how long messages take somewhere.
+    /// When a connection last measured a message delay; 0 before any.
     pub(crate) measured_at: Micros,
-    /// Backends that were slow lately.
+    /// Indices of backends that were slow recently.
     pub(crate) slow_backends: BTreeSet<usize>,
-    /// Backends that we hold standing connections at.
+    /// Indices of backends with established connections of this proxy.
     pub(crate) backends_in_use: BTreeSet<usize>,
-    /// When requests were accepted and further attempts made, as far back as the attempt budget counts.
+    /// When requests were accepted, within the window of the retry budget.
     pub(crate) accepted: VecDeque<Micros>,
+    /// When retries were sent, within the same window.
     pub(crate) retries: VecDeque<Micros>,
-    /// Probes in a row that failed at backends that served us meanwhile.
+    /// Failed probes in a row, at backends with established connections of this proxy.
     pub(crate) consecutive_probe_failures: u32,
+    /// A subscribe call waits for its timer.
     pub(crate) subscribe_scheduled: bool,
-    /// How far the list is known.
+    /// How current the endpoints are.
     pub(crate) freshness: EndpointsFreshness,
-    /// When it was last entered; none before the first.
+    /// When endpoints were last applied; `None` before the first.
     pub(crate) listed_at: Option<Micros>,
-    /// The limit on set-ups while they fail everywhere alike.
+    /// Limit on setups while they fail at all kinds of backends.
     pub(crate) setup_limit: SetupLimit,
-    /// Calls to the list service in a row that failed.
+    /// List calls scheduled in a row without an endpoint update since.
     pub(crate) failed_list_calls: u32,
-    /// The process is about to end: nothing more is begun.
+    /// The process is about to end: no attempt is started any more.
     pub(crate) stopping: bool,
 }
 
 impl Balancer {
-    /// The number of backends listed, and of those among them that get nothing new by rule or for their failures.
+    /// Number of listed backends, and of those that get no new attempts because of a rule or failures.
     pub fn backend_counts(&self, now: Micros) -> (usize, usize) {
         let listed = |i: &usize| self.backends[*i].member.state != MemberState::Gone;
         let listed: Vec<usize> = (0..self.backends.len()).filter(listed).collect();
@@ -281,36 +313,38 @@
         (listed.len(), avoided.count())
     }
 
-    /// Enters a connection of that load at a backend, or takes it out.
-    pub(crate) fn update_load(&mut self, i: usize, load: Option<f64>, enter: bool) {
-        self.backends[i].own_load.update(load, enter);
-        self.total.update(load, enter);
+    /// Adds a connection of that load at a backend, or removes it.
+    pub(crate) fn update_load(&mut self, i: usize, load: Option<f64>, add: bool) {
+        self.backends[i].own_load.update(load, add);
+        self.total.update(load, add);
     }
 
-    /// Spends what is left of a window's turns, one at most; how much that was.
-    pub(crate) fn spend_slow_start_slot(&mut self, now: Micros, window: Micros, most: f64) -> f64 {
+    /// Spends what is left of a window's slow-start slots, at most one. Returns how much that is.
+    pub(crate) fn spend_slow_start_slot(&mut self, now: Micros, window: Micros, quota: f64) -> f64 {
         while self.slow_start_slots.front().is_some_and(|&(at, _)| at + window < now) {
             self.slow_start_slots.pop_front();
         }
-        let spent: f64 = self.slow_start_slots.iter().map(|(_, turn)| turn).sum();
-        let turn = (most - spent).clamp(0.0, 1.0);
-        if turn > 0.0 {
-            self.slow_start_slots.push_back((now, turn));
+        let spent: f64 = self.slow_start_slots.iter().map(|(_, slot)| slot).sum();
+        let slot = (quota - spent).clamp(0.0, 1.0);
+        if slot > 0.0 {
+            self.slow_start_slots.push_back((now, slot));
         }
-        turn
+        slot
     }
 
-    /// One of those by chance, as its size is of the sum of theirs; none of none, and no chance is used up.
+    /// Draws a backend with a probability in proportion to its weight, where `sum` is the sum of the weights.
+    /// Returns `None` for no backends, without a draw.
     pub(crate) fn draw_by_weight(&mut self, among: &[usize], sum: f64) -> Option<usize> {
         among.first()?;
-        let mut at = self.rng.f64() * sum;
+        let mut position = self.rng.f64() * sum;
         among.iter().copied().find(|&i| {
-            at -= self.weight(i);
-            at < 0.0
+            position -= self.weight(i);
+            position < 0.0
         })
     }
 
-    /// Forgets what lies before the span in which further attempts are counted; its ends are read against us.
+    /// Drops what lies before the window of the retry budget. Exactly at its start a request no longer
+    /// counts, and a retry still does: the stricter reading.
     pub(crate) fn trim_retry_window(&mut self, now: Micros) {
         let from = now.saturating_sub(self.budget.window);
         while self.accepted.front().is_some_and(|&at| at <= from) {
@@ -321,11 +355,11 @@
         }
     }
 
-    /// Enters the answer to a probe, or that none came, and the load that it told.
+    /// Records a probe's result and the load that it reported.
     pub(crate) fn record_report(&mut self, now: Micros, i: usize, answered: bool, load: Option<f64>) {
-        let reported = self.estimate_load(&self.backends[i].own_load);
+        let own_load = self.estimate_load(&self.backends[i].own_load);
         let backend = &mut self.backends[i];
-        (backend.report, backend.load_at_report) = (Some((now, load.filter(|_| answered))), reported);
+        (backend.report, backend.load_at_report) = (Some((now, load.filter(|_| answered))), own_load);
         backend.unverified &= !answered;
         if answered {
             self.consecutive_probe_failures = 0;
@@ -334,8 +368,8 @@
         }
     }
 
-    /// The load that it reported, with what we added or took away since where that is asked for; `None` where
-    /// no fresh report tells.
+    /// The load that a backend reported no longer than `age` ago, as a share of its capacity. With `since`,
+    /// plus the change of the own load since that report. `None` without such a report.
     pub(crate) fn fresh_load(&self, i: usize, now: Micros, age: Micros, since: bool) -> Option<f64> {
         let backend = &self.backends[i];
         let added =
@@ -343,10 +377,10 @@
         Some(backend.report(now, age)?? + if since { added } else { 0.0 })
     }
 
-    /// Enters a standing connection at a backend, or takes it out.
-    pub(crate) fn set_established(&mut self, i: usize, id: RequestId, enter: bool) {
+    /// Adds an established connection at a backend, or removes it.
+    pub(crate) fn set_established(&mut self, i: usize, id: RequestId, add: bool) {
         let established = &mut self.backends[i].established;
-        if enter {
+        if add {
             established.insert(id);
             self.backends_in_use.insert(i);
         } else if established.remove(&id) && established.is_empty() {
@@ -354,7 +388,7 @@
         }
     }
 
-    /// Takes out the held requests whose event is due, or all, in order of arrival.
+    /// Removes and returns the held requests that are due, or all, in order of arrival.
     pub(crate) fn take_held(&mut self, now: Micros, all: bool) -> Vec<RequestState> {
         let requests = &self.requests;
         let due = |id: &RequestId| requests.get(id).is_none_or(|state| all || state.retry_at <= now);
@@ -363,67 +397,67 @@
         due.into_iter().filter_map(|id| self.requests.remove(&id)).collect()
     }
 
-    /// Keeps a request without an attempt out.
+    /// Holds a request without an attempt in progress.
     pub(crate) fn hold_request(&mut self, state: RequestState) {
         self.held.push(state.request.id);
         self.requests.insert(state.request.id, state);
     }
 
-    /// Whether we hold connections there that would have told us, had it been slow lately.
+    /// Whether own connections confirm a backend as healthy: they would have shown a recent slowness.
     pub(crate) fn observed_healthy(&self, i: usize, now: Micros) -> bool {
         !self.backends[i].established.is_empty() && now >= self.backends[i].slow_until
     }
 
-    /// Share of its capacity that a backend can surely do while it warms up; `None` once warm.
+    /// Share of its capacity that a backend can surely serve in slow start; `None` once it is ramped up.
     pub(crate) fn slow_start_share(&self, i: usize, now: Micros) -> Option<f64> {
-        let (started, from) = (self.backends[i].started, self.settings.slow_start_min_share);
+        let (started, min_share) = (self.backends[i].started, self.settings.slow_start_min_share);
         let age = now.saturating_sub(started) as f64 / self.settings.slow_start_duration.max(1) as f64;
-        (started > 0 && age < 1.0).then_some(from + (1.0 - from) * age)
+        (started > 0 && age < 1.0).then_some(min_share + (1.0 - min_share) * age)
     }
 
-    /// A request to be placed, and whether its key was lately: its load then is remembered.
+    /// State of a request to be placed, and whether its key was recently placed: then its load is remembered.
     pub(crate) fn new_request_state(&self, request: Request) -> (RequestState, bool) {
-        let lately = request.key.and_then(|key| self.recent_keys.get(&key)).copied();
-        let previous_load = lately.and_then(|(_, load)| load);
-        (RequestState { previous_load, ..RequestState::new(request) }, lately.is_some())
+        let recent = request.key.and_then(|key| self.recent_keys.get(&key)).copied();
+        let previous_load = recent.and_then(|(_, load)| load);
+        (RequestState { previous_load, ..RequestState::new(request) }, recent.is_some())
     }
 
-    /// Enters a set-up delay of this tick, in aims of its class.
+    /// Records a setup delay of this tick, relative to the setup target of its class.
     pub(crate) fn record_setup_delay(&mut self, request: &Request, delay: Micros) {
-        let aim = self.class(request).setup_target.max(1);
-        self.admission.delays.push(delay as f64 / aim as f64);
+        let target = self.class(request).setup_target.max(1);
+        self.admission.delays.push(delay as f64 / target as f64);
     }
 
-    /// Size of a backend: its weight where weights state sizes, else 1.
+    /// Weight of a backend where weights state sizes, else 1.
     pub(crate) fn weight(&self, i: usize) -> f64 {
         let weight = self.backends[i].member.weight;
         if self.settings.sized_weights && weight > 0.0 { weight } else { 1.0 }
     }
 
-    /// Work that a backend can do, where weights state sizes: in standard cores; microseconds a second.
+    /// Work that a backend can do, in microseconds a second: of standard cores where weights state sizes.
     pub(crate) fn capacity(&self, i: usize) -> f64 {
         self.weight(i) * 1e6
     }
 
-    /// Work that it can surely do now, while it warms up.
+    /// Work that a backend can surely do now, in slow start or not; microseconds a second.
     pub(crate) fn current_capacity(&self, i: usize, now: Micros) -> f64 {
         self.capacity(i) * self.slow_start_share(i, now).unwrap_or(1.0)
     }
 
-    /// What we may send a cold backend in a window, at that share of its capacity, where we would by what was seen:
-    /// no more than our part of what its size can take, as clients that come back after a crash are many while few
-    /// backends are listed; and all of that part where it was started as planned. One back from a crash may not be
-    /// what it was.
-    pub(crate) fn slow_start_refill(&self, i: usize, share: f64, seen: f64) -> f64 {
-        let part = self.slow_start_quota(self.weight(i), BUCKET_PART) * share;
+    /// Connections that this proxy may open at a backend in slow start in one window, where observations
+    /// allow `observed`. `share` is the share of its capacity that it can serve. The backend's weight sets a
+    /// bound, as many clients come back after a crash, while few backends are listed. After a planned start
+    /// the whole bound is allowed. A backend back from a crash may have changed.
+    pub(crate) fn slow_start_refill(&self, i: usize, share: f64, observed: f64) -> f64 {
+        let bound = self.slow_start_quota(self.weight(i), TOKEN_BUCKET_SHARE) * share;
         match (self.settings.sized_weights, self.backends[i].planned_start) {
-            (false, _) => seen,
-            (true, true) => part,
-            (true, false) => seen.min(part),
+            (false, _) => observed,
+            (true, true) => bound,
+            (true, false) => observed.min(bound),
         }
     }
 
-    /// Load of a connection, as far as known.
+    /// Load of a connection, as far as known; in the unit of [`Self::estimate_load`].
     pub(crate) fn request_load(&self, state: &RequestState) -> f64 {
         let load = state.load.or(state.previous_load);
         self.estimate_load(&LoadEstimate {
@@ -433,14 +467,16 @@
         })
     }
 
-    /// A connection of unknown load counts as the mean of the known, and without notes or hints one.
+    /// Estimates a load. A connection of unknown load counts as the mean of the known ones, or as 1 where no
+    /// load was measured or hinted.
     pub(crate) fn estimate_load(&self, load: &LoadEstimate) -> f64 {
-        let known = f64::from(self.total.open - self.total.unknown_count);
-        let usual = if self.total.known_load > 0.0 { self.total.known_load / known.max(1.0) } else { 1.0 };
-        load.known_load + f64::from(load.unknown_count) * usual
+        let known_count = f64::from(self.total.open - self.total.unknown_count);
+        let mean =
+            if self.total.known_load > 0.0 { self.total.known_load / known_count.max(1.0) } else { 1.0 };
+        load.known_load + f64::from(load.unknown_count) * mean
     }
 
-    /// Enters a connection that stands already; its backend.
+    /// Records a connection that is already established. Returns the index of its backend.
     pub(crate) fn restore_connection(
         &mut self,
         now: Micros,
@@ -454,7 +490,7 @@
         Some(i)
     }
 
-    /// Enters since when each backend is withdrawn; those that now are.
+    /// Records when backends were withdrawn. Returns those that are withdrawn since this update.
     pub(crate) fn update_withdrawn(&mut self, now: Micros) -> Vec<usize> {
         let mut withdrawn = Vec::new();
         for (i, backend) in self.backends.iter_mut().enumerate() {
@@ -468,16 +504,17 @@
         withdrawn
     }
 
-    /// Enters those standing at a backend among the ones to be moved off, once each; whether they are the first.
+    /// Queues the established connections of a backend for a move, once each. Returns whether this starts the
+    /// queue.
     pub(crate) fn queue_moves(&mut self, i: usize) -> bool {
-        let idle = self.move_queue.is_empty();
+        let was_empty = self.move_queue.is_empty();
         let established = self.backends[i].established.iter();
         let new: Vec<_> = established.copied().filter(|id| !self.move_queue.contains(id)).collect();
         self.move_queue.extend(new);
-        idle && !self.move_queue.is_empty()
+        was_empty && !self.move_queue.is_empty()
     }
 
-    /// The loads of those standing at a backend, the heaviest first.
+    /// Loads and ids of the established connections of a backend, the heaviest first.
     pub(crate) fn heaviest_first(&self, i: usize) -> Vec<(f64, RequestId)> {
         let requests = self.backends[i].established.iter().filter_map(|id| self.requests.get(id));
         let mut requests: Vec<_> =
@@ -486,7 +523,7 @@
         requests
     }
 
-    /// Enters that the client left.
+    /// Records that the client left.
     pub(crate) fn client_left(&mut self, id: RequestId) {
         if let Some(state) = self.requests.get_mut(&id) {
             state.answered = true;
@@ -496,7 +533,7 @@
         }
     }
 
-    /// Enters a member of the list; its number.
+    /// Records an entry of the endpoints. Returns the index of its backend.
     pub(crate) fn upsert_member(&mut self, member: &Member, now: Micros) -> usize {
         let next = self.backends.len();
         let i = *self.index.entry(member.backend.clone()).or_insert(next);
@@ -508,17 +545,17 @@
                 ..Backend::new(member, now)
             });
         }
-        let (new, listed_at) = (i == next, self.listed_at);
+        let (is_new, listed_at) = (i == next, self.listed_at);
         let backend = &mut self.backends[i];
-        let planned = new || backend.out_of_service();
-        let told_before = std::mem::replace(&mut backend.member, member.clone()).started;
+        let planned = is_new || backend.out_of_service();
+        let reported_before = std::mem::replace(&mut backend.member, member.clone()).started;
         match member.state {
             MemberState::Ready => backend.drained = false,
             MemberState::Draining => backend.drained = true,
-            // A later list may only have forgotten that it drains.
+            // A later update may only have forgotten that it drains.
             MemberState::Gone => {}
         }
-        if member.started > 0 && (new || member.started != told_before) {
+        if member.started > 0 && (is_new || member.started != reported_before) {
             let started = backend.estimate_start(member.started, now, listed_at);
             if started > backend.started {
                 backend.reset_for_new_process(started, now);
@@ -528,15 +565,17 @@
         i
     }
 
-    /// Whether its entries are due to be drawn anew: it came, went, or its size moved by more than a slack.
+    /// Whether the table needs a rebuild for this backend: it came, went, or its weight changed enough.
     pub(crate) fn table_entry_changed(&self, i: usize, now: Micros) -> bool {
-        let size = if self.in_table(i, now) { self.weight(i) } else { 0.0 };
-        let (low, high) = (size.min(self.backends[i].table_weight), size.max(self.backends[i].table_weight));
-        low * SIZE_SLACK < high
+        let weight = if self.in_table(i, now) { self.weight(i) } else { 0.0 };
+        let (low, high) =
+            (weight.min(self.backends[i].table_weight), weight.max(self.backends[i].table_weight));
+        low * WEIGHT_CHANGE_FACTOR < high
     }
 
-    /// Enters that staff withhold a backend, or gave it back. They restart it meanwhile: unless the list told of
-    /// a later start, it counts as started now, with our part of its cold budget for the first connection.
+    /// Records that operators put a backend into maintenance, or returned it. They restart it meanwhile:
+    /// unless a later start was reported, it counts as started now. It gets the slow-start tokens of this
+    /// proxy for the first connection.
     pub(crate) fn set_maintenance(&mut self, now: Micros, backend: &BackendId, in_maintenance: bool) {
         let changed = match in_maintenance {
             true => self.backends_in_maintenance.insert(backend.clone()),
@@ -547,43 +586,46 @@
         if in_maintenance {
             return self.backends[i].maintenance_since = now;
         }
-        let told = Some(self.backends[i].started).filter(|&at| at > self.backends[i].maintenance_since);
-        self.backends[i].reset_for_new_process(told.unwrap_or(now), now);
-        self.backends[i].restart_observed = told.is_none();
+        let reported_start =
+            Some(self.backends[i].started).filter(|&at| at > self.backends[i].maintenance_since);
+        self.backends[i].reset_for_new_process(reported_start.unwrap_or(now), now);
+        self.backends[i].restart_observed = reported_start.is_none();
         (self.backends[i].planned_start, self.backends[i].returned_to_service) = (true, true);
         let share = self.slow_start_share(i, now).unwrap_or(1.0);
         self.backends[i].tokens = self.slow_start_refill(i, share, 0.0).min(1.0);
     }
 
-    /// Whether a list ever named that backend, or staff withhold it.
+    /// Whether the endpoints ever named that backend, or it is in maintenance.
     pub fn knows(&self, backend: &str) -> bool {
         self.index.contains_key(backend) || self.backends_in_maintenance.contains(backend)
     }
 
-    /// The backends that staff withhold.
+    /// The backends in maintenance.
     pub fn backends_in_maintenance(&self) -> impl Iterator<Item = &str> {
         self.backends_in_maintenance.iter().map(|backend| &**backend)
     }
 
-    /// The load of an open connection, where known; microseconds of work a second.
+    /// Load of an established connection, where known; microseconds of work a second.
     pub fn load_of(&self, id: RequestId) -> Option<f64> {
         self.requests.get(&id).and_then(|state| state.load)
     }
 
-    /// Who has entries: whoever is listed, and for a while whoever the list withdrew where not binding.
+    /// Whether a backend has table entries: if it is ready, or if its removal need not be obeyed. A withdrawn
+    /// backend that is unverified has them only for a while.
     pub(crate) fn in_table(&self, i: usize, now: Micros) -> bool {
         let backend = &self.backends[i];
-        let heard = !backend.unverified || now < backend.withdrawn_at.saturating_add(WITHDRAWN_MEMORY);
-        backend.ready() || !self.settings.exclude_removed && !backend.drained && heard
+        let may_serve =
+            !backend.unverified || now < backend.withdrawn_at.saturating_add(WITHDRAWN_RETENTION_US);
+        backend.ready() || !self.settings.exclude_removed && !backend.drained && may_serve
     }
 
-    /// Forgets a further attempt made then, unless it was the first.
-    pub(crate) fn uncount_retry(&mut self, attempts: u32, sent: Micros) {
-        let at = self.retries.iter().rposition(|&at| at == sent).filter(|_| attempts > 1);
-        at.and_then(|at| self.retries.remove(at));
+    /// Removes a retry sent at that time from the retry budget, unless it was the first attempt.
+    pub(crate) fn uncount_retry(&mut self, attempts: u32, sent_at: Micros) {
+        let position = self.retries.iter().rposition(|&at| at == sent_at).filter(|_| attempts > 1);
+        position.and_then(|at| self.retries.remove(at));
     }
 
-    /// Enters the noted load of an open connection, if there is one; its backend.
+    /// Records the measured load of an open connection, if it exists. Returns the index of its backend.
     pub(crate) fn update_connection_load(&mut self, id: RequestId, load: f64) -> Option<usize> {
         let state = self.requests.get_mut(&id)?;
         let (i, ..) = state.current_attempt?;
@@ -593,15 +635,15 @@
         Some(i)
     }
 
-    /// Enters how long a set-up took at a backend; the part of it that the quickest one did not take.
+    /// Records how long a setup took at a backend. Returns how much longer it took than the shortest one.
     pub(crate) fn record_setup_latency(&mut self, i: usize, latency: Micros) -> Micros {
         self.setups += 1;
-        let least = &mut self.backends[i].min_setup_latency;
-        *least = latency.min(*least);
-        latency - *least
+        let shortest = &mut self.backends[i].min_setup_latency;
+        *shortest = latency.min(*shortest);
+        latency - *shortest
     }
 
-    /// Enters an attempt.
+    /// Records that an attempt was sent.
     pub(crate) fn start_attempt(&mut self, mut state: RequestState, i: usize, now: Micros, until: Micros) {
         self.update_load(i, state.load, true);
         self.setup_limit.begin();
@@ -612,14 +654,16 @@
         self.requests.insert(state.request.id, state);
     }
 
-    /// Enters that the connection of the attempt that is out stands; its backend and request.
+    /// Records that the attempt's connection is established. Returns the index of its backend and the
+    /// request.
     pub(crate) fn record_established(
         &mut self,
         now: Micros,
         id: RequestId,
         attempt: u32,
     ) -> Option<(usize, Request)> {
-        let state = self.requests.get_mut(&id).filter(|w| w.attempts == attempt + 1 && !w.established)?;
+        let state =
+            self.requests.get_mut(&id).filter(|state| state.attempts == attempt + 1 && !state.established)?;
         let (i, ..) = state.current_attempt?;
         (state.established, state.answered) = (true, true);
         self.setup_limit.succeeded();
@@ -631,64 +675,65 @@
         Some((i, request))
     }
 
-    /// Takes out the attempt that is out: its request, its backend, when it was sent and its limit.
+    /// Removes the attempt in progress. Returns the state of its request, the index of its backend, when the
+    /// attempt was sent, and when it would have timed out.
     pub(crate) fn end_attempt(
         &mut self,
         now: Micros,
-        ended: &AttemptResult,
+        result: &AttemptResult,
     ) -> Option<(RequestState, usize, Micros, Micros)> {
         self.requests
-            .get(&ended.id)
-            .filter(|w| w.attempts == ended.attempt + 1 && w.current_attempt.is_some())?;
-        let mut state = self.requests.remove(&ended.id)?;
-        let (i, sent, until) = state.current_attempt.take()?;
-        state.answered |= ended.closed;
+            .get(&result.id)
+            .filter(|state| state.attempts == result.attempt + 1 && state.current_attempt.is_some())?;
+        let mut state = self.requests.remove(&result.id)?;
+        let (i, sent_at, until) = state.current_attempt.take()?;
+        state.answered |= result.closed;
         self.update_load(i, state.load, false);
         if state.established {
-            self.set_established(i, ended.id, false);
+            self.set_established(i, result.id, false);
             if let Some(key) = state.request.key {
                 self.recent_keys.insert(key, (now, state.load));
             }
         }
-        Some((state, i, sent, until))
+        Some((state, i, sent_at, until))
     }
 
-    /// The description of the request's class.
+    /// The class of the request.
     pub(crate) fn class(&self, request: &Request) -> &Class {
         self.settings.classes.get(request.class).unwrap_or(&self.unknown_class)
     }
 
-    /// Listed backends in the order of their ids.
+    /// Ready backends, in the order of their ids.
     pub(crate) fn ready(&self) -> impl Iterator<Item = usize> {
         self.index.values().copied().filter(|&i| self.backends[i].ready())
     }
 
-    /// Whether it lies in another zone and crossing has a price.
+    /// Whether the backend is in another zone and crossing has a price.
     pub(crate) fn in_other_zone(&self, i: usize) -> bool {
         self.backends[i].member.zone != self.settings.zone && self.settings.cross_zone_price > 0.0
     }
 
-    /// Listed backends that warm up.
+    /// Ready backends in slow start.
     pub(crate) fn in_slow_start(&self, now: Micros) -> impl Iterator<Item = usize> {
         self.ready().filter(move |&i| self.slow_start_share(i, now).is_some())
     }
 
-    /// Builds the table of the backends that have a size, in the order of their ids.
-    pub(crate) fn build_table(&mut self, sizes: Vec<Option<f64>>) {
-        let sized = self.index.iter().filter_map(|(name, &i)| Some((i, &**name, sizes[i]?)));
-        let members: Vec<_> = sized.collect();
+    /// Builds the table of the backends that have a weight, in the order of their ids.
+    pub(crate) fn build_table(&mut self, weights: Vec<Option<f64>>) {
+        let weighted = self.index.iter().filter_map(|(name, &i)| Some((i, &**name, weights[i]?)));
+        let members: Vec<_> = weighted.collect();
         self.table.build(&members);
-        for (backend, size) in self.backends.iter_mut().zip(sizes) {
-            backend.table_weight = size.unwrap_or(0.0);
+        for (backend, weight) in self.backends.iter_mut().zip(weights) {
+            backend.table_weight = weight.unwrap_or(0.0);
         }
     }
 
-    /// Empty books.
+    /// The state before any event.
     pub(crate) fn empty(settings: Settings, unknown_class: Class, budget: RetryBudget, seed: u64) -> Self {
-        let many = settings.proxies > LARGE_FLEET_PROXIES;
-        let aims = settings.classes.iter().map(|c| c.message_target).filter(|&aim| aim > 0);
+        let is_large_fleet = settings.proxies > LARGE_FLEET_PROXIES;
+        let targets = settings.classes.iter().map(|c| c.message_target).filter(|&target| target > 0);
         Balancer {
-            message_target: aims.min().unwrap_or(0) as f64,
+            message_target: targets.min().unwrap_or(0) as f64,
             unknown_class,
             budget,
             admission: Admission::new(0),
@@ -717,7 +762,7 @@
             subscribe_scheduled: false,
             freshness: EndpointsFreshness::default(),
             listed_at: None,
-            setup_limit: SetupLimit::new(seed, many),
+            setup_limit: SetupLimit::new(seed, is_large_fleet),
             failed_list_calls: 0,
             stopping: false,
         }
