--- a/crates/decision/src/fair_share.rs
+++ b/crates/decision/src/fair_share.rs
@@ -1,128 +1,157 @@
-//! What one of many relays may take of room that all of them see: the part of a cold backend's budget, and of the
-//! room that reports promise. Bounds and weighs for `logic`, which decides.
+//! The share that one of many proxies may take of spare capacity which all of them see: of the slow-start
+//! budget of a backend, and of the headroom that reports show. This module only computes bounds and weights;
+//! `logic` decides.
 
 use crate::api::Micros;
 use crate::logic::{Balancer, EVALUATION_INTERVAL_US, SLOW_START_UTILIZATION};
 
-/// Load of a connection before any was told; microseconds of work a second. Ten fill a core: the bench's page on this
-/// kind of service says 15 to 60, and a class may be heavier than the usual.
-const UNTOLD_LOAD: f64 = 100_000.0;
-/// Weighs as much as so many told loads; connections.
-const UNTOLD_WEIGHT: f64 = 4.0;
-/// The shortest mean life of a connection by that page: what is known before ours have lived; seconds...
-const LEAST_LIFE: f64 = 25.0;
-/// ...and weighs as much as so many ends; connections.
-const LIFE_WEIGHT: f64 = 2.0;
-/// Of a cold budget is saved, up to one connection where windows hold less: a burst would spend what is over; windows.
-const SAVED_WINDOWS: f64 = 8.0;
-/// Part of its capacity that a fleet is used at: what is known of arrivals before any came; no unit.
-const USUAL: f64 = 0.8;
-/// Own arrivals are counted this far back, and what is known before weighs as much: soon enough for a storm, which
-/// lasts some seconds; microseconds.
-const SEEN: Micros = 2_000_000;
-/// A load that is read was true up to half a second before it came, by the brief, and is gone by for
-/// `EVALUATION_INTERVAL_US`; microseconds.
-const BLIND: Micros = EVALUATION_INTERVAL_US + 500_000;
+/// Load of a connection before any is measured, in microseconds of work a second. Ten such connections fill a
+/// core: services of this kind have 15 to 60 a core, and a class may be heavier than usual.
+const DEFAULT_LOAD_US_PER_SECOND: f64 = 100_000.0;
+/// Number of connections of known load that this default weighs as much as.
+const DEFAULT_LOAD_CONNECTIONS: f64 = 4.0;
+/// Mean lifetime of a connection before own ones have ended: the shortest mean in services of this kind.
+const MIN_MEAN_LIFETIME_SECONDS: f64 = 25.0;
+/// Number of own connections that this lifetime weighs as much as.
+const MIN_LIFETIME_CONNECTIONS: f64 = 2.0;
+/// Windows of slow-start budget that are saved, up to one connection where windows hold less. A burst would
+/// spend what is saved beyond that.
+const MAX_SAVED_WINDOWS: f64 = 8.0;
+/// Share of their capacity at which all backends are used, as assumed before any arrivals.
+const DEFAULT_UTILIZATION: f64 = 0.8;
+/// Window in which own arrivals are counted. The assumed arrivals weigh as much. It is short enough for a
+/// storm, which lasts some seconds.
+const ARRIVAL_WINDOW_US: Micros = 2_000_000;
+/// Time for which no proxy sees what the others do. A reported load is up to half a second old when it comes,
+/// by the service's contract, and is used for `EVALUATION_INTERVAL_US`.
+const REPORT_LAG_US: Micros = EVALUATION_INTERVAL_US + 500_000;
 
-/// Connections that fill a core, from the sum of the loads of `told` connections.
-fn core_holds(told: f64, sum: f64) -> f64 {
-    1e6 * (UNTOLD_WEIGHT + told) / (UNTOLD_WEIGHT * UNTOLD_LOAD + sum)
+/// Connections that fill a core, from the number of connections of known load and the sum of their loads.
+fn connections_per_core(known_count: f64, known_load: f64) -> f64 {
+    1e6 * (DEFAULT_LOAD_CONNECTIONS + known_count)
+        / (DEFAULT_LOAD_CONNECTIONS * DEFAULT_LOAD_US_PER_SECOND + known_load)
 }
 
-/// Mean life of a connection where so many stand and came in that time, in seconds: what stands is what came times
-/// how long it stays.
-fn life(standing: f64, came: f64, seconds: f64) -> f64 {
-    ((LIFE_WEIGHT * LEAST_LIFE + standing * seconds) / (LIFE_WEIGHT + came)).max(LEAST_LIFE)
+/// Mean lifetime of a connection in seconds, where so many are established and so many came in that time. The
+/// number of established connections is the arrival rate times the lifetime.
+fn mean_lifetime(established: f64, arrived: f64, seconds: f64) -> f64 {
+    ((MIN_LIFETIME_CONNECTIONS * MIN_MEAN_LIFETIME_SECONDS + established * seconds)
+        / (MIN_LIFETIME_CONNECTIONS + arrived))
+        .max(MIN_MEAN_LIFETIME_SECONDS)
 }
 
-/// Arrivals a second at a fleet that holds so many connections when full, which live so long: `seen` came to one of its
-/// relays within `SEEN`, besides the one that asks.
-fn arrivals(seen: usize, holds: f64, life: f64, proxies: f64) -> f64 {
-    let (usual, span) = (holds * USUAL / life, SEEN as f64 / 1e6);
-    (usual + proxies * seen as f64 / span) / 2.0
+/// Arrivals a second at all proxies, where the backends hold `capacity` connections that live for `lifetime`
+/// seconds. `observed` arrivals came to one of the proxies within `ARRIVAL_WINDOW_US`, besides the one being
+/// placed.
+fn arrivals_per_second(observed: usize, capacity: f64, lifetime: f64, proxies: f64) -> f64 {
+    let (assumed, seconds) = (capacity * DEFAULT_UTILIZATION / lifetime, ARRIVAL_WINDOW_US as f64 / 1e6);
+    (assumed + proxies * observed as f64 / seconds) / 2.0
 }
 
-/// The part of those who arrive while nobody sees what the others do that finds room: `room` is free of a fleet that
-/// holds so many connections when full, and each takes up `loads` mean loads.
-fn part(room: f64, loads: f64, holds: f64, arrivals: f64) -> f64 {
-    room * holds / (loads * arrivals * BLIND as f64 / 1e6).max(f64::MIN_POSITIVE)
+/// Share of the arrivals within `REPORT_LAG_US` that find spare capacity. `headroom` is the free share of
+/// backends that hold `capacity` connections, and each arrival takes up `loads` mean loads.
+fn admitted_share(headroom: f64, loads: f64, capacity: f64, arrivals: f64) -> f64 {
+    headroom * capacity / (loads * arrivals * REPORT_LAG_US as f64 / 1e6).max(f64::MIN_POSITIVE)
 }
 
-/// A number from 0 to 1 by the relay, the request and the second: asking again at once draws no other, and relays that
-/// number their requests alike do not draw alike.
-fn lot(proxy: u64, id: u64, now: Micros) -> f64 {
-    let mut of_proxy = fastrand::Rng::with_seed(proxy);
+/// A number from 0 to 1, determined by the proxy, the request and the second. A retry within the second draws
+/// the same number, and proxies that number their requests alike draw different ones.
+fn random_draw(proxy_seed: u64, id: u64, now: Micros) -> f64 {
+    let mut proxy_rng = fastrand::Rng::with_seed(proxy_seed);
     fastrand::Rng::with_seed(
-        of_proxy.u64(..) ^ id.wrapping_mul(0x9E37_79B9_7F4A_7C15) ^ (now / EVALUATION_INTERVAL_US),
+        proxy_rng.u64(..) ^ id.wrapping_mul(0x9E37_79B9_7F4A_7C15) ^ (now / EVALUATION_INTERVAL_US),
     )
     .f64()
 }
 
 impl Balancer {
-    /// Connections that fill a backend of size one: by the loads that we were told of, a core of them. Where weights
-    /// state no sizes, a backend holds what one of them carries now at least, if all relays hold what we do.
-    fn unit_holds(&self) -> f64 {
-        let core = core_holds(f64::from(self.total.open - self.total.unknown_count), self.total.known_load);
-        // Those that stand: attempts that are out say what is wanted, not what is carried.
-        let ours: usize = self.backends_in_use.iter().map(|&i| self.backends[i].established.len()).sum();
-        let carried = f64::from(self.settings.proxies) * ours as f64;
+    /// Connections that fill a backend of weight 1: by the measured loads, those that fill a core. Where
+    /// weights state no sizes, a backend holds at least as many as one carries now, if all proxies hold as
+    /// many as this one.
+    fn connections_per_weight(&self) -> f64 {
+        let per_core = connections_per_core(
+            f64::from(self.total.open - self.total.unknown_count),
+            self.total.known_load,
+        );
+        // Only established connections count: attempts in progress show demand, not what backends carry.
+        let own_count: usize = self.backends_in_use.iter().map(|&i| self.backends[i].established.len()).sum();
+        let carried = f64::from(self.settings.proxies) * own_count as f64;
         match self.settings.sized_weights {
-            true => core,
-            false => core.max(carried / self.admission.capacity.max(1.0)),
+            true => per_core,
+            false => per_core.max(carried / self.admission.capacity.max(1.0)),
         }
     }
 
-    /// Our part of the connections that all may open in a window at backends of that size, were they warm.
-    pub(crate) fn slow_start_quota(&self, size: f64, part: f64) -> f64 {
-        let (window, proxies) = (
+    /// Share of this proxy in the connections that all proxies may open in a window at backends of that total
+    /// weight that are ramped up, if they use `utilization` of the slow-start budget.
+    pub(crate) fn slow_start_quota(&self, weight: f64, utilization: f64) -> f64 {
+        let (windows, proxies) = (
             self.settings.overload_window as f64 / self.settings.slow_start_duration as f64,
             self.settings.proxies,
         );
-        size * self.unit_holds() * part * self.settings.overload_multiple * window / f64::from(proxies)
+        weight * self.connections_per_weight() * utilization * self.settings.overload_multiple * windows
+            / f64::from(proxies)
     }
 
-    /// Of few relays: our part of a cold budget, saved up to now. A backend can do what it took
-    /// while warm: our rate of set-ups to one, and not of tries, as clients that come again say nothing.
+    /// Slow-start tokens of a backend in a small fleet: the share of this proxy in its budget, saved until
+    /// `now`. The budget follows from what a backend takes when ramped up: the own rate of setups at one
+    /// backend, and not of attempts, as clients that come again say nothing.
     pub(crate) fn tokens(&self, i: usize, now: Micros, share: f64) -> f64 {
-        let fall = self.settings.overload_window as f64 / 1e6;
+        let window = self.settings.overload_window as f64 / 1e6;
         let age = now.saturating_sub(self.started.unwrap_or(now)).max(self.admission.tick) as f64 / 1e6;
-        let part = self.weight(i) * SLOW_START_UTILIZATION / self.admission.capacity.max(f64::MIN_POSITIVE);
-        // All relays together send a cold backend a connection in two windows, whatever was seen before.
-        let least = 0.5 / (fall * f64::from(self.settings.proxies)).max(1e-3);
-        let seen = self.setups as f64 / age * part * share * self.settings.overload_multiple;
-        let rate = self.slow_start_refill(i, share, seen.max(least) * fall) / fall;
-        let (window, passed) = (rate * fall, now.saturating_sub(self.backends[i].tokens_at) as f64 / 1e6);
-        (self.backends[i].tokens + rate * passed).min(window.max((window * SAVED_WINDOWS).min(1.0)))
+        let own_share =
+            self.weight(i) * SLOW_START_UTILIZATION / self.admission.capacity.max(f64::MIN_POSITIVE);
+        // All proxies together send a backend in slow start a connection in two windows, whatever was
+        // observed before.
+        let min_rate = 0.5 / (window * f64::from(self.settings.proxies)).max(1e-3);
+        let observed_rate = self.setups as f64 / age * own_share * share * self.settings.overload_multiple;
+        let rate = self.slow_start_refill(i, share, observed_rate.max(min_rate) * window) / window;
+        let (per_window, elapsed) =
+            (rate * window, now.saturating_sub(self.backends[i].tokens_at) as f64 / 1e6);
+        (self.backends[i].tokens + rate * elapsed)
+            .min(per_window.max((per_window * MAX_SAVED_WINDOWS).min(1.0)))
     }
 
-    /// Draws one of the open backends by its room, in cores, with the chance that there is room for all who arrive;
-    /// none of them where others take it. `None` where nothing is to be drawn: there is room for all, or the first
-    /// one is still to be asked how full it is. `among` are the backends from which the fleet's room is told.
+    /// Draws one of the `open` backends in proportion to its headroom, in cores, with the probability that
+    /// the request finds spare capacity among all arrivals. `Some(None)`: other requests take that capacity.
+    /// `None`: no draw is needed, as there is headroom for all arrivals, or the first backend has no fresh
+    /// report yet. The headroom of all backends is extrapolated from `among`.
     pub(crate) fn draw_by_headroom(
         &self,
         now: Micros,
         id: u64,
         among: &[usize],
         open: &[usize],
-        room: impl Fn(&usize) -> Option<f64>,
+        headroom: impl Fn(&usize) -> Option<f64>,
     ) -> Option<Option<usize>> {
-        room(open.first()?)?;
-        let rooms: Vec<f64> = open.iter().map(|i| room(i).unwrap_or(0.0)).collect();
-        let (all, size) = (rooms.iter().sum::<f64>(), among.iter().map(|&i| self.weight(i)).sum::<f64>());
-        let holds = self.ready().map(|i| self.weight(i)).sum::<f64>() * self.unit_holds();
+        headroom(open.first()?)?;
+        let headrooms: Vec<f64> = open.iter().map(|i| headroom(i).unwrap_or(0.0)).collect();
+        let (total, weight) =
+            (headrooms.iter().sum::<f64>(), among.iter().map(|&i| self.weight(i)).sum::<f64>());
+        let capacity = self.ready().map(|i| self.weight(i)).sum::<f64>() * self.connections_per_weight();
         let age = now.saturating_sub(self.started.unwrap_or(now)) as f64 / 1e6;
-        let life = life(f64::from(self.total.open), self.setups as f64, age);
-        let seen = self.accepted.iter().rev().take_while(|&&at| at + SEEN > now).count().saturating_sub(1);
-        // A group costs a backend one mean load more, whatever comes of it.
+        let lifetime = mean_lifetime(f64::from(self.total.open), self.setups as f64, age);
+        let observed = self
+            .accepted
+            .iter()
+            .rev()
+            .take_while(|&&at| at + ARRIVAL_WINDOW_US > now)
+            .count()
+            .saturating_sub(1);
+        // A group costs a backend one mean load more, whatever follows.
         let loads = if self.settings.groups { 2.0 } else { 1.0 };
-        let part =
-            part(all / size, loads, holds, arrivals(seen, holds, life, f64::from(self.settings.proxies)));
-        let mut at = lot(self.seed, id, now) / part * all;
-        let mut takes = |room: &f64| {
-            at -= room;
-            at < 0.0
+        let share = admitted_share(
+            total / weight,
+            loads,
+            capacity,
+            arrivals_per_second(observed, capacity, lifetime, f64::from(self.settings.proxies)),
+        );
+        let mut position = random_draw(self.seed, id, now) / share * total;
+        let mut is_drawn = |headroom: &f64| {
+            position -= headroom;
+            position < 0.0
         };
-        (part < 1.0).then(|| rooms.iter().position(&mut takes).map(|n| open[n]))
+        (share < 1.0).then(|| headrooms.iter().position(&mut is_drawn).map(|n| open[n]))
     }
 }
 
