--- a/crates/decision/src/logic.rs
+++ b/crates/decision/src/logic.rs
@@ -67,7 +67,7 @@
 /// From this many failed probes in a row of backends that serve us, no request waits for a probe: two may
 /// be chance.
 const MAX_CONSECUTIVE_PROBE_FAILURES: u32 = 3;
-/// A held request is retried no sooner than this.
+/// A held request is retried no sooner than this after it was last placed.
 const MIN_HOLD_US: Micros = 10_000;
 /// Share of the slow-start budget used in the long run. Random variation and saved tokens take the rest.
 pub(crate) const SLOW_START_UTILIZATION: f64 = 0.65;
@@ -583,7 +583,8 @@
     }
 
     /// Handles a reported message delay. A backend that is not slow takes new connections at once.
-    /// Special case "shed": guards against clients that wait for a backlog. Each proxy moves its share of it.
+    /// Special case "shed": guards against clients that wait for a backlog.
+    /// Each proxy moves its share of the excess load.
     fn on_delay_report(&mut self, now: Micros, i: usize, delay: Micros, out: &mut Vec<Action>) {
         if delay as f64 <= SLOW_MESSAGE_SHARE * self.message_target {
             return self.backends[i].slow_until = now;
@@ -626,7 +627,7 @@
     }
 
     /// Special case "mostly slow": most backends in use are slow, beyond random variation.
-    /// Guards against moving clients in vain.
+    /// Guards against futile passing on of requests and clients.
     fn mostly_slow(&mut self, now: Micros) -> bool {
         let backends = &self.backends;
         self.slow_backends.retain(|&i| backends[i].slow_until > now);
@@ -717,7 +718,7 @@
     }
 
     /// Special case "slow-start slots": guards against many proxies overrunning a backend in slow start. Each
-    /// opens there at random, whatever the key, so rarely that all in step keep its overload multiple.
+    /// opens there at random, whatever the key, so rarely that all in step stay within its overload multiple.
     /// Harm: groups scatter.
     fn pick_slow_start_backend(&mut self, now: Micros, state: &RequestState) -> Option<usize> {
         let in_slow_start: Vec<usize> =
