--- a/crates/decision/src/api.rs
+++ b/crates/decision/src/api.rs
@@ -1,112 +1,137 @@
-//! The interface of the decision module: settings, events and actions, without any wire.
+//! The interface of the decision module: settings, events and actions as plain types, free of any wire
+//! format.
+//!
+//! The host (a proxy process, the bench's adapter or a test) creates a [`crate::Balancer`] from [`Settings`].
+//! It passes each [`Event`] to [`crate::Balancer::handle`] together with the current time, and carries out
+//! the [`Action`]s that come back, in order.
+//!
+//! Two wire formats map to these types. The bench's line protocol, spoken by `pierloom-adapter`, is read and
+//! written by the crate `pierloom-wire`. The protocol between clients, proxies and backends belongs to the
+//! proxy. Below, "setting" is a key of the JSON object that the bench sends in `INIT` and that a proxy's
+//! config file holds under `settings`, "message" is a message of the bench.
 
 use std::sync::Arc;
 
-/// A point in time or a span of time, in microseconds.
+/// A point in time on the host's clock, or a duration; microseconds.
 pub type Micros = u64;
-/// Identity of one accepted request; never reused.
+/// Identifies one accepted request; chosen by the host and never reused.
 pub type RequestId = u64;
-/// Identity of a backend, the same at every relay and across restarts of its process.
+/// Identifies a backend; the same at every proxy and across restarts of the backend's process.
 pub type BackendId = Arc<str>;
 
-/// How far a request's effect may be repeated.
+/// Whether a request may be repeated after an attempt that may have run. Setting `classes[].effect`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Harmless to repeat.
+    /// May be repeated anywhere (`repeatable`).
     Repeatable,
-    /// Duplicates are discarded by the backends of a group, for a while.
+    /// May be repeated at backends of this scope, which discard duplicates of a key for
+    /// [`Class::repeat_window`] (`by_key`).
     Keyed(KeyScope),
-    /// Must never run twice.
+    /// Must never run twice (`once`).
     Once,
 }
 
-/// Backends that discard each other's duplicates of a keyed request.
+/// The backends that discard each other's duplicates of a keyed request. Setting `classes[].group`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
-    /// Every backend.
+    /// Every backend (`all`).
     All,
-    /// Backends in the same zone.
+    /// Backends in the same zone (`zone`).
     Zone,
-    /// Backends in the same cell.
+    /// Backends in the same cell (`cell`).
     Cell,
 }
 
-/// One class of request.
+/// One class of requests. Setting `classes[]`.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Set-up is wanted within this time.
+    /// Target for the time from a request to its established connection (`target`).
     pub setup_target: Micros,
-    /// The client stops waiting after this time.
+    /// Time after which the client stops waiting for its connection (`deadline`).
     pub deadline: Micros,
-    /// A message on an open connection is wanted within this time; 0 where nothing is stated.
+    /// Target for the time that a message on an established connection takes; 0 if there is none. Setting
+    /// `family-info.message-aim`.
     pub message_target: Micros,
-    /// How far its effect may be repeated.
+    /// Whether a request may be repeated.
     pub effect: Effect,
-    /// How long a group discards duplicates of a keyed request.
+    /// How long backends discard duplicates of a keyed request (`window`).
     pub repeat_window: Micros,
 }
 
-/// A bound on the attempts beyond each request's first, over any span of a stated length.
+/// Limit on retries, that is on attempts beyond each request's first. It holds in every window of the given
+/// length.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
-    /// Further attempts allowed in a span however few requests it saw.
+    /// Retries allowed in a window regardless of the number of requests. Setting `contract.extra-free`.
     pub min_retries: f64,
-    /// Further attempts allowed for each request accepted in the span.
+    /// Retries allowed for each request accepted in the window. Setting `contract.repeat-ratio`.
     pub ratio: f64,
-    /// Length of the span.
+    /// Length of the window. Setting `contract.ratio-span`.
     pub window: Micros,
 }
 
-/// Everything a balancer is told at its start. Unstated figures keep their defaults.
+/// Configuration of a balancer, fixed at its start. Settings that are not stated keep their defaults.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Number of relays that decide alike, this one included.
+    /// Number of proxies that run this module, this one included. Setting `balancers`.
     pub proxies: u32,
-    /// Zone of this relay, as an index that [`Member::zone`] uses too.
+    /// Zone of this proxy, an index shared with [`Member::zone`]. Settings `zone` and `zones`.
     pub zone: u16,
-    /// Classes of request.
+    /// Classes of requests; [`Request::class`] is an index into them.
     pub classes: Vec<Class>,
-    /// Attempts allowed for one request.
+    /// Maximum number of attempts for one request. Setting `bounds.max-attempts`.
     pub max_attempts: u32,
-    /// Bound on further attempts, where one is stated.
+    /// Limit on retries; `None` for the module's own.
     pub budget: Option<RetryBudget>,
-    /// A backend that the list withdraws gets nothing new; otherwise only draining binds.
+    /// Whether a backend that the endpoint list removed must get nothing new. If false, only draining must be
+    /// obeyed. Setting `contract.removal-not-binding`, negated.
     pub exclude_removed: bool,
-    /// A connection not set up within this time fails.
+    /// Time after which connecting to a backend fails. Setting `bounds.connect-timeout`.
     pub connect_timeout: Micros,
-    /// Clients are told when to come back after a refusal.
+    /// Whether a refusal tells the client when to retry. Setting `bounds.retry-after`.
     pub retry_after: bool,
-    /// Longest wait that clients honour.
+    /// Longest time that clients wait before they retry. Setting `bounds.max-retry-after`.
     pub max_retry_after: Micros,
-    /// The list must be asked for; otherwise changes arrive unprompted.
+    /// Whether the host delivers changes of the endpoints only after [`Action::Subscribe`]; otherwise they
+    /// arrive unprompted. Setting `membership-mode`: `ask`.
     pub ask_for_list: bool,
-    /// Without a subscription, a list older than this is deemed known.
+    /// Without a subscription, an endpoint list older than this counts as known to the proxy. Setting
+    /// `contract.ask-within`.
     pub ask_within: Micros,
-    /// What a list would tell binds so long after it could be had, whether it came or not, where that is stated.
+    /// A change of the endpoints must be obeyed this long after discovery could have reported it, received or
+    /// not. Endpoints older than this therefore allow no new attempt. `None` if there is no such limit. Time
+    /// in which discovery is known to be unreachable does not count.
     pub max_endpoints_age: Option<Micros>,
-    /// The same after the service that tells it became another one.
+    /// The same limit after discovery moved to another service, counted from the move until that service
+    /// sends a full list.
     pub max_endpoints_age_after_move: Micros,
-    /// Members' weights state their registered size.
+    /// Whether [`Member::weight`] states a backend's size. Setting `weights`: `nominal`, `rough` or `live`.
     pub sized_weights: bool,
-    /// Members' weights also fall with the load there, and change with each report.
+    /// Whether weights also fall with a backend's load and change with each report. Setting `weights`:
+    /// `live`.
     pub live_weights: bool,
-    /// Connections of one group share work on a backend.
+    /// Whether connections of one group share work on a backend. Setting `family-info.groups`.
     pub groups: bool,
-    /// Backends may be probed.
+    /// Whether backends may be probed. Setting `bounds.may-probe`.
     pub may_probe: bool,
-    /// Backends may be probed, and this value of their report is the load asked of them over what they can do.
+    /// Index of the utilization (demanded load divided by capacity) in a probe's report, if backends may be
+    /// probed and report it: the position of `x0` in the setting `feedback.columns`.
     pub load_report: Option<usize>,
-    /// This value of their report is the time that a message takes there; milliseconds.
+    /// Index of the time that a message takes at the backend, in milliseconds, in a probe's report: the
+    /// position of `svc_ms` in the setting `feedback.columns`.
     pub delay_report: Option<usize>,
-    /// A started backend takes at least this share of its capacity at first.
+    /// Minimum share of its capacity, 0 to 1, that a backend can take right after its start. Setting
+    /// `contract.cold-from`.
     pub slow_start_min_share: f64,
-    /// A started backend is warm after this time.
+    /// Time from a backend's start to its full capacity. Setting `contract.cold`.
     pub slow_start_duration: Micros,
-    /// Price of an attempt that crosses zones, as a share of the result.
+    /// Price of an attempt that crosses zones, as a share of the result, 0 to 1. Setting
+    /// `penalties.cross-zone`.
     pub cross_zone_price: f64,
-    /// Sent more than this multiple of its present capacity, a cold backend falls over...
+    /// A backend in slow start overloads if it is sent more than this multiple of its current capacity for as
+    /// long as [`Settings::overload_window`]. Setting `contract.fall-multiple`.
     pub overload_multiple: f64,
-    /// ...when that lasts this long.
+    /// How long that excess lasts before the backend overloads. Setting `contract.fall`.
     pub overload_window: Micros,
 }
 
@@ -148,10 +173,10 @@
     }
 }
 
-/// Settings that no balancer could work with.
+/// Error for settings with a value out of range.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvalidSettings {
-    /// The field of [`Settings`] that is out of range.
+    /// The value that is out of range, by its name in error texts.
     pub field: &'static str,
 }
 
@@ -164,59 +189,60 @@
 impl std::error::Error for InvalidSettings {}
 
 impl Settings {
-    /// Refuses what is out of range and names the field.
+    /// Checks that all values are in range; the error names the first that is not.
     pub fn check(&self) -> Result<(), InvalidSettings> {
-        let share = |value: f64| (0.0..=1.0).contains(&value);
-        let budget = |b: &RetryBudget| b.min_retries >= 0.0 && b.ratio >= 0.0 && b.window > 0;
-        let fields = [
+        let is_share = |value: f64| (0.0..=1.0).contains(&value);
+        let is_valid_budget =
+            |budget: &RetryBudget| budget.min_retries >= 0.0 && budget.ratio >= 0.0 && budget.window > 0;
+        let checks = [
             ("relays", self.proxies > 0),
             ("classes", !self.classes.is_empty()),
             ("classes[].deadline", self.classes.iter().all(|class| class.deadline > 0)),
             ("max_attempts", self.max_attempts > 0),
-            ("budget", self.budget.as_ref().is_none_or(budget)),
+            ("budget", self.budget.as_ref().is_none_or(is_valid_budget)),
             ("connect_timeout", self.connect_timeout > 0),
-            ("cold_from", share(self.slow_start_min_share)),
-            ("cross_zone_price", share(self.cross_zone_price)),
+            ("cold_from", is_share(self.slow_start_min_share)),
+            ("cross_zone_price", is_share(self.cross_zone_price)),
             ("fall_multiple", self.overload_multiple > 0.0),
             ("fall", self.overload_window > 0),
         ];
-        match fields.into_iter().find(|&(_, sound)| !sound) {
+        match checks.into_iter().find(|&(_, in_range)| !in_range) {
             Some((field, _)) => Err(InvalidSettings { field }),
             None => Ok(()),
         }
     }
 }
 
-/// What the list says of a backend.
+/// State of a backend in the endpoint list. Field `health` of the message `M`, field `status` of discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberState {
-    /// Takes new work.
+    /// Accepts new connections (`healthy`, `ready`).
     Ready,
-    /// Finishes its work and wants nothing new.
+    /// Finishes its work and must get nothing new (`cordoned`, `draining`).
     Draining,
-    /// Withdrawn.
+    /// Removed (`deregistered`, `gone`).
     Gone,
 }
 
-/// One entry of the list of backends.
+/// One entry of the endpoint list: a backend as discovery reports it. Message `M`.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// Its identity.
+    /// The backend.
     pub backend: BackendId,
-    /// Its state.
+    /// The backend's state.
     pub state: MemberState,
-    /// Its zone, as [`Settings::zone`] counts them.
+    /// The backend's zone, an index shared with [`Settings::zone`].
     pub zone: u16,
-    /// Its cell.
+    /// The backend's cell; 0 if it has none.
     pub cell: u64,
-    /// Its weight beside other backends.
+    /// The backend's weight relative to other backends.
     pub weight: f64,
-    /// When its process last started; 0 for long ago.
+    /// When the backend's process last started; 0 for long ago.
     pub started: Micros,
 }
 
 impl Member {
-    /// A ready backend of weight 1, in zone 0, started long ago.
+    /// A ready backend of weight 1 in zone 0 that started long ago.
     pub fn ready(backend: &str) -> Self {
         Member {
             backend: backend.into(),
@@ -229,171 +255,182 @@
     }
 }
 
-/// A client's request for a connection.
+/// A client's request for a connection. Message `ACCEPT`; at a proxy, a client's line `OPEN`.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
-    /// Its identity.
+    /// Identifies the request in later events and actions.
     pub id: RequestId,
-    /// Index into [`Settings::classes`].
+    /// Index into [`Settings::classes`]. An index out of range is a class without a description: its requests
+    /// must never run twice.
     pub class: usize,
-    /// Stable hash of the client's key, where it has one.
+    /// Stable hash of the client's key, if there is one.
     pub key: Option<u64>,
-    /// Stable hash of the connection's group, where it has one.
+    /// Stable hash of the connection's group, if there is one.
     pub group: Option<u64>,
-    /// The client gives up at this time.
+    /// Time at which the client gives up.
     pub deadline: Micros,
-    /// Expected work per second, as microseconds of a standard core, where hinted.
+    /// Expected load of the connection, if the client states it: microseconds of work of a standard core per
+    /// second.
     pub load_hint: Option<f64>,
-    /// Packets of an established connection arrive.
+    /// Packets of a connection that is already established arrive.
     pub mid_flow: bool,
-    /// The client is back after a break or a move.
+    /// The client reconnects after a broken connection or a move.
     pub reconnecting: bool,
 }
 
-/// How an attempt or a probe ended.
+/// Result of an attempt or a probe. The numbers are the field `how` of the messages `COMPLETED` and `PONG`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// Served.
+    /// The backend served it (200).
     Ok,
-    /// Answered with an error; may have run.
+    /// The backend answered with an error; the request may have run (502).
     Error,
-    /// Turned away unseen.
+    /// The backend refused the request without running it (429).
     Overloaded,
-    /// No answer in time; may have run.
+    /// No answer arrived in time; the request may have run (408).
     Timeout,
-    /// No connection could be made; never ran.
+    /// The connection could not be made; the request never ran (521).
     ConnectFailed,
-    /// The connection broke; may have run.
+    /// The connection broke; the request may have run (520).
     Reset,
-    /// Withdrawn; may have run.
+    /// The attempt was cancelled; the request may have run (444).
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent, and does not count as a retry (409).
     NotSent,
 }
 
 impl Status {
-    /// Whether the attempt may have had its effect.
+    /// Whether the request may have run at the backend.
     pub fn may_have_run(self) -> bool {
         !matches!(self, Status::Overloaded | Status::ConnectFailed | Status::NotSent)
     }
 }
 
-/// What a list event brings.
+/// What an event about the endpoint list reports. Field `mode` of the message `ROSTER_CHANGE`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// Changed entries only.
+    /// Entries that changed (`delta`).
     Delta,
-    /// The complete list.
+    /// The complete list (`full`, `cached`).
     Full,
-    /// A call failed or the subscription broke; no entries.
+    /// A call to discovery failed or the subscription broke; no entries (`failed`).
     Failed,
-    /// A call failed, as there was no way to the service that tells of the list; no entries.
+    /// A call failed because discovery could not be reached; no entries.
     Unreachable,
-    /// The service that tells of the list is another one now, and has not told it yet; no entries.
+    /// Discovery moved to another service, which has not sent its list yet; no entries.
     DiscoveryMoved,
 }
 
-/// News of an open connection.
+/// A measurement of an established connection. The first two are the topics 1 and 2 of the message `NOTE`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Measurement {
-    /// Its load now, in microseconds of work a second.
+    /// The connection's current load; microseconds of work per second.
     Load(f64),
-    /// Time a message takes at its backend now.
+    /// Time that a message now takes at the connection's backend.
     Delay(Micros),
-    /// A message has been without its answer on this connection for so long.
+    /// How long a message on the connection has been without an answer.
     Unanswered(Micros),
 }
 
-/// The end of an attempt.
+/// How an attempt ended. Message `COMPLETED`.
 #[derive(Clone, Debug)]
 pub struct AttemptResult {
     /// The request.
     pub id: RequestId,
     /// Number of the attempt, from 0.
     pub attempt: u32,
-    /// How it ended.
+    /// How the attempt ended.
     pub status: Status,
-    /// Time since it was sent.
+    /// Time from the sending of the attempt to its end.
     pub latency: Micros,
-    /// Set when the request has its final answer.
+    /// Whether the request already has its final answer, so that neither a retry nor an answer may follow.
     pub closed: bool,
 }
 
-/// What a balancer is told.
+/// An event that the host delivers to the balancer. Unless another message is named, the bench has no message
+/// for it.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// News of the list of backends.
+    /// Discovery reported the endpoint list or changes of it, or a call to discovery failed. Message
+    /// `ROSTER_CHANGE`.
     Members {
-        /// Complete, changes, or a failure.
+        /// Whether the entries are all or changes, or what failed.
         kind: ListKind,
-        /// The entries.
+        /// The entries; empty after a failure.
         members: Arc<[Member]>,
     },
-    /// Staff withhold a backend, whatever the list says, or (false) gave it back.
+    /// Operators put a backend into maintenance (true) or returned it to service (false). A backend in
+    /// maintenance gets nothing new, whatever the endpoint list reports. A proxy sends this for a call to its
+    /// console or for a mark of its predecessor.
     Maintenance(BackendId, bool),
-    /// What the module learned whose place this one takes, after its list.
+    /// State that the predecessor's module learned. Sent once at an upgrade, after the endpoint list.
     LearnedState(Box<crate::LearnedState>),
-    /// A client's request arrives; it is owed one final answer.
+    /// A client's request arrived; the host must get exactly one final answer for it. Message `ACCEPT`.
     Request(Request),
-    /// A connection that already stands when the balancer starts.
+    /// A connection that another process established and that this one continues, with its backend. Message
+    /// `OPEN`.
     Resumed(Request, BackendId),
-    /// An attempt's connection stands.
+    /// An attempt's connection is established. Message `FIRST_BYTE`.
     Established {
         /// The request.
         id: RequestId,
         /// Number of the attempt, from 0.
         attempt: u32,
-        /// Time since it was sent.
+        /// Time from the sending of the attempt to the established connection.
         latency: Micros,
     },
-    /// An attempt ended.
+    /// An attempt ended, before or after its connection was established. Message `COMPLETED`.
     AttemptEnded(AttemptResult),
-    /// The client left; nothing is owed any more.
+    /// The client left; its request needs no answer any more. Message `GONE`.
     ClientGone(RequestId),
-    /// The process is about to end: whoever waits is answered, and nothing more is begun.
+    /// The process is shutting down: every request that waits is answered, and no further attempt starts.
     Stopping,
-    /// News of an open connection.
+    /// The host measured an established connection. Message `NOTE`.
     Measured(RequestId, Measurement),
-    /// A probe's result.
+    /// A probe that [`Action::Probe`] asked for ended. Message `PONG`.
     Probed {
-        /// The backend probed.
+        /// The probed backend.
         backend: BackendId,
-        /// How it ended.
+        /// How the probe ended.
         status: Status,
-        /// The values it reported, empty when none came.
+        /// The values that the backend reported, in the order of the setting `feedback.columns`; empty if
+        /// none arrived.
         report: Vec<f64>,
     },
-    /// A timer set earlier fell due.
+    /// A timer set by [`Action::Timer`] is due; carries the token of the timer. Message `DUE`.
     Timer(u64),
 }
 
-/// What a balancer wants done.
+/// An action that the host must carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt.
+    /// Send an attempt to a backend. The host reports [`Event::Established`] once the connection is
+    /// established, and [`Event::AttemptEnded`] at its end. Message `HAND_OFF`.
     Send {
         /// The request.
         id: RequestId,
-        /// Where to.
+        /// The backend to connect to.
         backend: BackendId,
-        /// Time at which to stop waiting for it.
+        /// Time at which the host stops waiting for the connection and ends the attempt.
         until: Micros,
     },
-    /// Final answer: refused; to try again is harmless.
+    /// Final answer: refuse the request, which promises the client that a retry is harmless. Message
+    /// `REJECT`; a proxy answers `BUSY`.
     Refuse {
         /// The request.
         id: RequestId,
-        /// How long the client should stay away, where it can be told.
+        /// How long the client should wait before it retries, if a refusal can say so.
         retry_after: Option<Micros>,
     },
-    /// Final answer: failed; nothing is promised.
+    /// Final answer: fail the request, which promises nothing. Message `GIVE_UP`; a proxy answers `ERR`.
     Fail(RequestId),
-    /// End an open connection politely; its client returns.
+    /// Ask the client of an established connection to reconnect elsewhere. Message `GO_AWAY`; a proxy sends
+    /// `MOVE`.
     Move(RequestId),
-    /// Probe a backend; answered by [`Event::Probed`].
+    /// Probe a backend and report [`Event::Probed`]. Message `SAMPLE`; a proxy asks the backend with `STATS`.
     Probe(BackendId),
-    /// Ask for changes of the list from now on.
+    /// Subscribe to changes of the endpoint list. Message `SUBSCRIBE`; a proxy calls discovery.
     Subscribe,
-    /// Wake up after this time, with this token.
+    /// Deliver [`Event::Timer`] with this token after this time. Message `WAKE_ME`.
     Timer(Micros, u64),
 }
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -1,7 +1,9 @@
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
-//! pierloom decides for a balancer of long-lived connections: whom to admit, where to place
-//! each connection, when to try again and when to give up. It does no I/O and reads no clock.
+//! The decision module of the load balancer pierloom, for long-lived connections. It decides which requests
+//! to admit, at which backend to place each connection, when to retry and when to give up. It does no I/O and
+//! reads no clock: the host passes events and the current time to [`Balancer::handle`] and carries out the
+//! actions that come back. [`api`] describes settings, events and actions.
 //!
 //! ```
 //! use pierloom_decision::{Action, Balancer, Event, ListKind, Member, Request, Settings};
