--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,4 +1,5 @@
-//! Strict parsing and printing of the bench's line protocol; it decides nothing.
+//! Strict parser and writer of the bench's line protocol. Each line is one message: a name and fields,
+//! separated by single spaces. Nothing here decides.
 
 use pierloom_decision::*;
 use serde::Deserialize;
@@ -7,70 +8,82 @@
 use std::sync::Arc;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A complaint about a message, in one plain line.
+/// Describes what is wrong with a message or with settings, in one line of text.
 pub type ParseError = String;
 
 /// One line of a batch.
 #[derive(Debug)]
 pub enum Line {
-    /// A batch begins at this time.
+    /// `MARK`: a batch begins at this time.
     Mark(Micros),
-    /// The batch is complete.
+    /// `EOF_BATCH`: the batch is complete.
     EndOfBatch,
-    /// Events that follow concern this instance.
+    /// `CONTEXT`: the messages that follow concern this instance.
     Context(u64),
-    /// An instance starts with this seed and these settings.
+    /// `INIT`: the instance starts with this seed and these settings (JSON).
     Init(u64, String),
-    /// A numbered list begins, with so many entries to follow.
+    /// `PAGE`: number of an endpoint list and number of entries that follow.
     Page(usize, usize),
-    /// An entry of a list: everything after its name.
+    /// `M`: the whole line of one entry of an endpoint list.
     Entry(String),
-    /// News of the list: kind and number of the page.
+    /// `ROSTER_CHANGE`: what it reports and the number of the endpoint list, if it has one.
     Roster(ListKind, Option<usize>),
-    /// The instance is gone.
+    /// `SHUTDOWN`: the instance ends.
     Shutdown,
-    /// An event that needs no more context than the instance's names.
+    /// The whole line of an event that [`parse_event`] reads with the names of the instance.
     Event(String),
 }
 
-/// Span of an attempt budget whose span is not stated.
-const BUDGET_SPAN: Micros = 5_000_000;
-
-/// The names of one instance's settings: they turn words into indexes.
+/// Highest number of an endpoint list that `PAGE` may define.
+const MAX_LIST_NUMBER: u64 = 15;
+/// Bits of the field `state-bits`: the load hint is valid, packets of an established connection arrive, the
+/// client reconnects.
+const STATE_LOAD_HINT: u64 = 1;
+const STATE_MID_FLOW: u64 = 8;
+const STATE_RECONNECTING: u64 = 16;
+/// Topics of `NOTE`: the connection's load in microseconds of work per second, and a message's delay in
+/// milliseconds.
+const TOPIC_LOAD: u64 = 1;
+const TOPIC_DELAY: u64 = 2;
+
+/// Window of a retry budget whose settings state none.
+const DEFAULT_RETRY_WINDOW_US: Micros = 5_000_000;
+
+/// Maps the names of classes and zones in one instance's settings to indexes.
 #[derive(Debug, Default, Clone, PartialEq)]
 pub struct NameIndex {
     classes: BTreeMap<String, usize>,
     zones: BTreeMap<String, u16>,
     report_columns: Vec<String>,
-    /// What was wrong with the settings and is met with a default; one plain line each.
+    /// What was wrong with the settings and replaced by a default; one line of text each.
     pub warnings: Vec<String>,
 }
 
 impl NameIndex {
-    /// Index of a class, if the settings name it.
+    /// Index of a class in [`Settings::classes`], if the settings name it.
     pub fn class(&self, name: &str) -> Option<usize> {
         self.classes.get(name).copied()
     }
 
-    /// The classes in the order of their indexes.
+    /// Names of the classes in the order of their indexes.
     pub fn class_names(&self) -> Vec<String> {
         let mut names: Vec<(usize, &String)> = self.classes.iter().map(|(name, &i)| (i, name)).collect();
         names.sort_unstable();
         names.into_iter().map(|(_, name)| name.clone()).collect()
     }
 
-    /// Index of a zone. Zones that the settings do not name share one.
+    /// Index of a zone. All zones that the settings do not name share one index.
     pub fn zone(&self, name: &str) -> u16 {
         self.zones.get(name).copied().unwrap_or(u16::MAX)
     }
 
-    /// The values that a load report holds, in order.
+    /// Names of the values in a load report, in order.
     pub fn report_columns(&self) -> &[String] {
         &self.report_columns
     }
 }
 
-/// Stable hash of a key or a group; none for an absent one.
+/// Stable hash of a key or a group; `None` if it is absent (`-`).
 pub fn key_hash(text: &str) -> Option<u64> {
     (text != "-").then(|| xxh3_64(text.as_bytes()))
 }
@@ -119,7 +132,7 @@
     removal_not_binding: bool,
 }
 
-/// Parts of the goal are weights of the result; they are checked, and no decision uses them.
+/// Weights of parts of the result. They are checked, but no decision uses them.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
 struct WireGoal {
@@ -129,14 +142,14 @@
 
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
-struct WireFamily {
+struct WireFamilyInfo {
     groups: bool,
     message_aim: Vec<Option<f64>>,
 }
 
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
-struct WirePrices {
+struct WirePenalties {
     cross_zone: f64,
 }
 
@@ -157,9 +170,9 @@
     #[serde(default)]
     goal: WireGoal,
     #[serde(default)]
-    family_info: WireFamily,
+    family_info: WireFamilyInfo,
     #[serde(default)]
-    penalties: WirePrices,
+    penalties: WirePenalties,
     #[serde(default)]
     feedback: WireFeedback,
     #[serde(default)]
@@ -168,31 +181,30 @@
     weights: String,
 }
 
-/// Relays assumed where their number is not stated or cannot be: more than any fleet that is planned, as the bound on
-/// what all send to a cold backend holds for no more than are assumed.
-const USUAL_RELAYS: u32 = 1_000;
-/// More relays than this are no fleet, but a mistake.
-const MOST_RELAYS: u32 = 100_000;
+/// Number of proxies assumed if the settings state none or an invalid one. It exceeds any planned number,
+/// because the limit on what all proxies send to a backend in slow start holds only up to the assumed number.
+const DEFAULT_PROXIES: u32 = 1_000;
+/// A larger number of proxies is a mistake in the settings.
+const MAX_PROXIES: u32 = 100_000;
 
-/// The number of relays, and what is wrong with it, if anything.
-fn relays(stated: &serde_json::Value) -> (u32, Option<String>) {
-    let number =
-        stated.as_u64().and_then(|n| u32::try_from(n).ok()).filter(|n| (1..=MOST_RELAYS).contains(n));
+/// The number of proxies, and a warning if the stated one is invalid.
+fn proxy_count(stated: &serde_json::Value) -> (u32, Option<String>) {
+    let count = stated.as_u64().and_then(|n| u32::try_from(n).ok()).filter(|n| (1..=MAX_PROXIES).contains(n));
     let shown: String = stated.to_string().chars().take(40).collect();
     let shown = if stated.is_null() { "not stated".to_string() } else { shown };
-    let doubt =
-        || format!("settings: balancers is {shown}, not 1 to {MOST_RELAYS}: {USUAL_RELAYS} are assumed");
-    (number.unwrap_or(USUAL_RELAYS), number.is_none().then(doubt))
+    let warning =
+        || format!("settings: balancers is {shown}, not 1 to {MAX_PROXIES}: {DEFAULT_PROXIES} are assumed");
+    (count.unwrap_or(DEFAULT_PROXIES), count.is_none().then(warning))
 }
 
-/// Times longer than thirty years are as good as for ever; seconds. Sums of them have to stay in range.
-const FOR_EVER: f64 = 1e9;
+/// Longer times, of more than thirty years, count as this long, so that sums of times stay in range.
+const MAX_TIME_SECONDS: f64 = 1e9;
 
 fn micros(seconds: f64) -> Micros {
-    (seconds.clamp(0.0, FOR_EVER) * 1e6).round() as Micros
+    (seconds.clamp(0.0, MAX_TIME_SECONDS) * 1e6).round() as Micros
 }
 
-/// A key with the value null counts as absent.
+/// Removes keys with the value null, which count as absent.
 fn drop_nulls(value: &mut serde_json::Value) {
     match value {
         serde_json::Value::Object(map) => {
@@ -204,12 +216,12 @@
     }
 }
 
-/// Reads settings.
+/// Parses the settings of an instance from JSON.
 pub fn parse_settings(json: &str) -> Result<(Settings, NameIndex), ParseError> {
     parse_settings_value(serde_json::from_str(json).map_err(|e| format!("INIT settings: {e}"))?)
 }
 
-/// Reads settings that are parsed already.
+/// Reads the settings of an instance from parsed JSON. Unknown keys are ignored.
 pub fn parse_settings_value(mut value: serde_json::Value) -> Result<(Settings, NameIndex), ParseError> {
     drop_nulls(&mut value);
     let wire: WireSettings =
@@ -231,8 +243,8 @@
         let next = names.zones.len() as u16;
         names.zones.entry(zone.clone()).or_insert(next);
     }
-    let (relays, doubt) = relays(&wire.balancers);
-    names.warnings.extend(doubt);
+    let (proxy_count, warning) = proxy_count(&wire.balancers);
+    names.warnings.extend(warning);
     let next = names.zones.len() as u16;
     let zone = *names.zones.entry(wire.zone.clone()).or_insert(next);
     let mut classes = Vec::new();
@@ -247,68 +259,69 @@
         let effect = match class.effect.as_deref() {
             Some("repeatable") => Effect::Repeatable,
             Some("by_key") => Effect::Keyed(group),
-            // With nothing stated the careful reading holds.
+            // Without a stated effect a request must never run twice, which is the safe assumption.
             None | Some("once") => Effect::Once,
             Some(other) => return Err(format!("INIT settings: classes[].effect {other:?}")),
         };
-        let message_aim = wire.family_info.message_aim.get(i).copied().flatten().unwrap_or(0.0);
+        let message_target = wire.family_info.message_aim.get(i).copied().flatten().unwrap_or(0.0);
         classes.push(Class {
             setup_target: micros(class.target),
             deadline: micros(class.deadline),
-            message_target: micros(message_aim),
+            message_target: micros(message_target),
             effect,
             repeat_window: micros(class.window),
         });
     }
-    let base = Settings::default();
-    let stated = contract.extra_free.is_some() || contract.repeat_ratio.is_some();
-    let budget = stated.then(|| RetryBudget {
+    let defaults = Settings::default();
+    let has_budget = contract.extra_free.is_some() || contract.repeat_ratio.is_some();
+    let budget = has_budget.then(|| RetryBudget {
         min_retries: contract.extra_free.unwrap_or(0.0),
         ratio: contract.repeat_ratio.unwrap_or(0.0),
-        window: contract.ratio_span.map_or(BUDGET_SPAN, micros),
+        window: contract.ratio_span.map_or(DEFAULT_RETRY_WINDOW_US, micros),
     });
-    let or = |value: Option<f64>, default: Micros| value.map_or(default, micros);
-    let column =
+    let micros_or = |value: Option<f64>, default: Micros| value.map_or(default, micros);
+    let column_index =
         |name: &str| wire.feedback.columns.iter().position(|c| c == name).filter(|_| wire.bounds.may_probe);
     let settings = Settings {
-        proxies: relays,
+        proxies: proxy_count,
         zone,
         classes,
-        max_attempts: wire.bounds.max_attempts.unwrap_or(base.max_attempts),
+        max_attempts: wire.bounds.max_attempts.unwrap_or(defaults.max_attempts),
         budget,
         exclude_removed: !wire.contract.removal_not_binding,
-        connect_timeout: or(wire.bounds.connect_timeout, base.connect_timeout),
+        connect_timeout: micros_or(wire.bounds.connect_timeout, defaults.connect_timeout),
         retry_after: wire.bounds.retry_after,
         max_retry_after: micros(wire.bounds.max_retry_after),
         ask_for_list: wire.membership_mode == "ask",
-        ask_within: or(wire.contract.ask_within, base.ask_within),
-        // Figures of the real proxies' protocol, which the wire does not have.
+        ask_within: micros_or(wire.contract.ask_within, defaults.ask_within),
+        // These limits are part of the proxies' protocol with discovery; the bench's wire does not have them.
         max_endpoints_age: None,
         max_endpoints_age_after_move: 0,
         sized_weights: matches!(wire.weights.as_str(), "nominal" | "rough" | "live"),
         live_weights: wire.weights == "live",
         groups: wire.family_info.groups,
         may_probe: wire.bounds.may_probe,
-        load_report: column("x0"),
-        delay_report: column("svc_ms"),
-        slow_start_min_share: wire.contract.cold_from.unwrap_or(base.slow_start_min_share),
-        slow_start_duration: or(wire.contract.cold, base.slow_start_duration),
-        overload_multiple: wire.contract.fall_multiple.unwrap_or(base.overload_multiple),
+        load_report: column_index("x0"),
+        delay_report: column_index("svc_ms"),
+        slow_start_min_share: wire.contract.cold_from.unwrap_or(defaults.slow_start_min_share),
+        slow_start_duration: micros_or(wire.contract.cold, defaults.slow_start_duration),
+        overload_multiple: wire.contract.fall_multiple.unwrap_or(defaults.overload_multiple),
         cross_zone_price: wire.penalties.cross_zone,
-        overload_window: or(wire.contract.fall, base.overload_window),
+        overload_window: micros_or(wire.contract.fall, defaults.overload_window),
     };
     settings.check().map_err(|e| format!("INIT {e}"))?;
     Ok((settings, names))
 }
 
-/// The values of one message, taken in order.
+/// Reads the fields of one message in order.
 struct Fields<'a> {
+    /// Name of the message.
     message: &'a str,
     parts: std::str::Split<'a, char>,
 }
 
 impl<'a> Fields<'a> {
-    fn of(line: &'a str) -> Self {
+    fn new(line: &'a str) -> Self {
         let mut parts = line.split(' ');
         let message = parts.next().unwrap_or("");
         Fields { message, parts }
@@ -321,24 +334,25 @@
         }
     }
 
-    fn bad(&self, field: &str, value: &str) -> ParseError {
+    fn invalid_value(&self, field: &str, value: &str) -> ParseError {
         format!("{}: field {field} has the bad value {value:?}", self.message)
     }
 
     fn integer(&mut self, field: &str) -> Result<u64, ParseError> {
         let part = self.text(field)?;
-        part.parse().map_err(|_| self.bad(field, part))
+        part.parse().map_err(|_| self.invalid_value(field, part))
     }
 
     fn number(&mut self, field: &str) -> Result<f64, ParseError> {
         let part = self.text(field)?;
         match part.parse::<f64>() {
             Ok(value) if value.is_finite() => Ok(value),
-            _ => Err(self.bad(field, part)),
+            _ => Err(self.invalid_value(field, part)),
         }
     }
 
-    fn maybe_number(&mut self, field: &str) -> Result<Option<f64>, ParseError> {
+    /// A number; `None` for `-`.
+    fn optional_number(&mut self, field: &str) -> Result<Option<f64>, ParseError> {
         let mut rest = self.parts.clone();
         if rest.next() == Some("-") {
             self.parts = rest;
@@ -347,6 +361,7 @@
         self.number(field).map(Some)
     }
 
+    /// A time in seconds.
     fn time(&mut self, field: &str) -> Result<Micros, ParseError> {
         self.number(field).map(micros)
     }
@@ -362,7 +377,7 @@
             "520" => Status::Reset,
             "444" => Status::Cancelled,
             "409" => Status::NotSent,
-            _ => return Err(self.bad(field, part)),
+            _ => return Err(self.invalid_value(field, part)),
         })
     }
 
@@ -370,11 +385,12 @@
         match self.text(field)? {
             "1" => Ok(true),
             "0" => Ok(false),
-            part => Err(self.bad(field, part)),
+            part => Err(self.invalid_value(field, part)),
         }
     }
 
-    fn row(&mut self, field: &str) -> Result<Vec<f64>, ParseError> {
+    /// A list of numbers, separated by commas; empty for `-`. A missing number (`-`) in it counts as 0.
+    fn numbers(&mut self, field: &str) -> Result<Vec<f64>, ParseError> {
         let part = self.text(field)?;
         if part == "-" {
             return Ok(Vec::new());
@@ -382,12 +398,13 @@
         let value = |v: &str| match v.parse::<f64>() {
             Ok(value) if value.is_finite() => Ok(value),
             _ if v == "-" => Ok(0.0),
-            _ => Err(self.bad(field, part)),
+            _ => Err(self.invalid_value(field, part)),
         };
         part.split(',').map(value).collect()
     }
 
-    fn end<T>(mut self, value: T) -> Result<T, ParseError> {
+    /// Returns the value unless fields are left over.
+    fn finish<T>(mut self, value: T) -> Result<T, ParseError> {
         match self.parts.next() {
             None => Ok(value),
             Some(_) => Err(format!("{}: too many fields", self.message)),
@@ -395,18 +412,19 @@
     }
 }
 
-/// Reads one line of a batch.
+/// Parses one line of a batch. Entries of endpoint lists and events stay text, as reading them takes the
+/// names of an instance.
 pub fn parse_line(text: &str) -> Result<Line, ParseError> {
-    let mut fields = Fields::of(text);
+    let mut fields = Fields::new(text);
     match fields.message {
         "MARK" => {
             let now = fields.time("clock")?;
-            fields.end(Line::Mark(now))
+            fields.finish(Line::Mark(now))
         }
-        "EOF_BATCH" => fields.end(Line::EndOfBatch),
+        "EOF_BATCH" => fields.finish(Line::EndOfBatch),
         "CONTEXT" => {
-            let relay = fields.integer("relay")?;
-            fields.end(Line::Context(relay))
+            let instance = fields.integer("relay")?;
+            fields.finish(Line::Context(instance))
         }
         "INIT" => {
             let seed = fields.integer("nonce64")?;
@@ -416,10 +434,10 @@
         "PAGE" => {
             let list = fields.integer("list")?;
             let entries = fields.integer("items")?;
-            if list > 15 {
+            if list > MAX_LIST_NUMBER {
                 return Err(format!("PAGE: field list has the bad value \"{list}\""));
             }
-            fields.end(Line::Page(list as usize, entries as usize))
+            fields.finish(Line::Page(list as usize, entries as usize))
         }
         "M" => Ok(Line::Entry(text.to_string())),
         "ROSTER_CHANGE" => {
@@ -430,15 +448,15 @@
                 "delta" => ListKind::Delta,
                 "full" | "cached" => ListKind::Full,
                 "failed" => ListKind::Failed,
-                _ => return Err(fields.bad("mode", mode)),
+                _ => return Err(fields.invalid_value("mode", mode)),
             };
             let page = match kind {
                 ListKind::Failed | ListKind::Unreachable | ListKind::DiscoveryMoved => None,
-                _ => Some(list.parse().map_err(|_| fields.bad("list", list))?),
+                _ => Some(list.parse().map_err(|_| fields.invalid_value("list", list))?),
             };
-            fields.end(Line::Roster(kind, page))
+            fields.finish(Line::Roster(kind, page))
         }
-        "SHUTDOWN" => fields.end(Line::Shutdown),
+        "SHUTDOWN" => fields.finish(Line::Shutdown),
         "ACCEPT" | "NOTE" | "OPEN" | "GONE" | "PONG" | "DUE" | "COMPLETED" | "FIRST_BYTE" | "DATAGRAM" => {
             Ok(Line::Event(text.to_string()))
         }
@@ -446,39 +464,39 @@
     }
 }
 
-/// Reads one entry of a list.
+/// Parses one entry of an endpoint list, message `M`.
 pub fn parse_member(text: &str, names: &NameIndex) -> Result<Member, ParseError> {
-    let mut fields = Fields::of(text);
+    let mut fields = Fields::new(text);
     let health = fields.text("health")?;
     let state = match health {
         "healthy" => MemberState::Ready,
         "cordoned" => MemberState::Draining,
         "deregistered" => MemberState::Gone,
-        _ => return Err(fields.bad("health", health)),
+        _ => return Err(fields.invalid_value("health", health)),
     };
     fields.text("class-of-host")?;
     let zone = fields.text("site")?;
-    let cell = fields.maybe_number("cell")?.unwrap_or(0.0) as u64;
-    let weight = fields.maybe_number("power-hint")?.unwrap_or(1.0);
-    let started = fields.maybe_number("ready-at")?.map_or(0, micros);
+    let cell = fields.optional_number("cell")?.unwrap_or(0.0) as u64;
+    let weight = fields.optional_number("power-hint")?.unwrap_or(1.0);
+    let started = fields.optional_number("ready-at")?.map_or(0, micros);
     let backend = fields.text("backend")?.into();
     let zone = names.zone(zone);
-    fields.end(Member { backend, state, zone, cell, weight, started })
+    fields.finish(Member { backend, state, zone, cell, weight, started })
 }
 
-/// Reads the part that `ACCEPT` and `OPEN` share.
-fn request(fields: &mut Fields<'_>, names: &NameIndex) -> Result<Request, ParseError> {
+/// Parses the fields that `ACCEPT` and `OPEN` share.
+fn parse_request(fields: &mut Fields<'_>, names: &NameIndex) -> Result<Request, ParseError> {
     let id = fields.integer("ref")?;
     let class = fields.text("tier-class")?;
     fields.text("tenant")?;
     let item = fields.text("item")?;
-    let deadline = fields.maybe_number("client-deadline")?.map_or(0, micros);
-    let hint = fields.maybe_number("weight-hint")?;
+    let deadline = fields.optional_number("client-deadline")?.map_or(0, micros);
+    let load_hint = fields.optional_number("weight-hint")?;
     let channel = fields.text("channel")?;
     let bits = fields.text("state-bits")?;
     let bits: u64 = match bits {
         "-" => 0,
-        _ => bits.parse().map_err(|_| fields.bad("state-bits", bits))?,
+        _ => bits.parse().map_err(|_| fields.invalid_value("state-bits", bits))?,
     };
     Ok(Request {
         id,
@@ -486,19 +504,19 @@
         key: key_hash(item),
         group: key_hash(channel),
         deadline,
-        load_hint: hint.filter(|_| bits & 1 != 0).map(|seconds| seconds * 1e6),
-        mid_flow: bits & 8 != 0,
-        reconnecting: bits & 16 != 0,
+        load_hint: load_hint.filter(|_| bits & STATE_LOAD_HINT != 0).map(|seconds| seconds * 1e6),
+        mid_flow: bits & STATE_MID_FLOW != 0,
+        reconnecting: bits & STATE_RECONNECTING != 0,
     })
 }
 
-/// Reads an event; `None` for one that means nothing to this library.
+/// Parses an event; `None` for a valid message that the decision module has no use for.
 pub fn parse_event(text: &str, names: &NameIndex) -> Result<Option<Event>, ParseError> {
-    let mut fields = Fields::of(text);
+    let mut fields = Fields::new(text);
     let event = match fields.message {
-        "ACCEPT" => Event::Request(request(&mut fields, names)?),
+        "ACCEPT" => Event::Request(parse_request(&mut fields, names)?),
         "OPEN" => {
-            let request = request(&mut fields, names)?;
+            let request = parse_request(&mut fields, names)?;
             Event::Resumed(request, fields.text("backend")?.into())
         }
         "FIRST_BYTE" => {
@@ -514,7 +532,7 @@
             fields.text("backend")?;
             let status = fields.status("how")?;
             let attempt = fields.integer("round-no")? as u32;
-            fields.row("pressure")?;
+            fields.numbers("pressure")?;
             Event::AttemptEnded(AttemptResult { id, attempt, status, latency, closed })
         }
         "GONE" => Event::ClientGone(fields.integer("ref")?),
@@ -526,35 +544,35 @@
             let topic = fields.integer("topic")?;
             let level = fields.number("level")?;
             match topic {
-                1 => Event::Measured(id, Measurement::Load(level)),
-                2 => Event::Measured(id, Measurement::Delay(micros(level / 1e3))),
-                _ => return fields.end(None),
+                TOPIC_LOAD => Event::Measured(id, Measurement::Load(level)),
+                TOPIC_DELAY => Event::Measured(id, Measurement::Delay(micros(level / 1e3))),
+                _ => return fields.finish(None),
             }
         }
         "PONG" => {
             let backend = fields.text("backend")?.into();
             fields.time("rtt")?;
             let status = fields.status("how")?;
-            Event::Probed { backend, status, report: fields.row("pressure")? }
+            Event::Probed { backend, status, report: fields.numbers("pressure")? }
         }
         _ => {
             fields.integer("src")?;
             fields.text("content")?;
-            return fields.end(None);
+            return fields.finish(None);
         }
     };
-    fields.end(Some(event))
+    fields.finish(Some(event))
 }
 
-/// Prints one action as a line.
+/// Writes one action as a line.
 pub fn write_action(action: &Action, out: &mut String) {
-    let seconds = |t: Micros| format!("{}.{:06}", t / 1_000_000, t % 1_000_000);
+    let seconds = |time: Micros| format!("{}.{:06}", time / 1_000_000, time % 1_000_000);
     let written = match action {
         Action::Send { id, backend, until } => {
             writeln!(out, "HAND_OFF {id} {backend} {}", seconds(*until))
         }
-        Action::Refuse { id, retry_after: Some(t) } => {
-            writeln!(out, "REJECT {id} {}", seconds(*t))
+        Action::Refuse { id, retry_after: Some(wait) } => {
+            writeln!(out, "REJECT {id} {}", seconds(*wait))
         }
         Action::Refuse { id, retry_after: None } => writeln!(out, "REJECT {id} -"),
         Action::Fail(id) => writeln!(out, "GIVE_UP {id}"),
@@ -566,7 +584,7 @@
     written.expect("writing to a string cannot fail");
 }
 
-/// Turns the lines of a page into members, for one instance's zones.
+/// Parses the entries of an endpoint list with the zones of one instance.
 pub fn parse_members(lines: &[String], names: &NameIndex) -> Result<Arc<[Member]>, ParseError> {
     lines.iter().map(|text| parse_member(text, names)).collect()
 }
