--- a/crates/wire/src/bin/pierloom-adapter.rs
+++ b/crates/wire/src/bin/pierloom-adapter.rs
@@ -1,6 +1,7 @@
 #![forbid(unsafe_code)]
-//! Hosts instances of the decision module on the bench's line protocol. Instances share nothing
-//! but the immutable lists.
+//! Hosts instances of the decision module and speaks the bench's line protocol on standard input and output.
+//! Each instance stands for one proxy. Instances share nothing but the immutable endpoint lists. Malformed
+//! input ends the process with one line on standard error.
 
 use pierloom_decision::{Action, Balancer, Event, Member};
 use pierloom_wire::{self as wire, Line, NameIndex, ParseError};
@@ -10,32 +11,41 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
+/// One instance of the decision module.
 struct Instance {
     balancer: Balancer,
     names: NameIndex,
 }
 
-/// An immutable list, and its members as parsed for settings that name zones alike.
+/// An immutable endpoint list that a message `PAGE` defined.
 #[derive(Clone, Default)]
 struct Page {
+    /// Its entries as received.
     lines: Rc<Vec<String>>,
+    /// Its members, parsed for the instances whose settings have these names.
     parsed: Option<(NameIndex, Arc<[Member]>)>,
 }
 
+/// All instances and the state of the protocol.
 #[derive(Default)]
 struct InstanceHost {
+    /// Time of the current batch; microseconds.
     now: u64,
+    /// Instance that the last `CONTEXT` of the batch selected.
     current: Option<u64>,
     instances: BTreeMap<u64, Instance>,
     pages: BTreeMap<usize, Page>,
-    filling: Option<(usize, usize, Vec<String>)>,
-    replies: BTreeMap<u64, Vec<Action>>,
+    /// The `PAGE` being read: its number, its expected number of entries and the entries so far.
+    incomplete_page: Option<(usize, usize, Vec<String>)>,
+    /// Actions of the current batch by instance.
+    actions: BTreeMap<u64, Vec<Action>>,
     in_batch: bool,
 }
 
 impl Page {
+    /// The members of the list for settings with these names.
     fn members(&mut self, names: &NameIndex) -> Result<Arc<[Member]>, ParseError> {
-        if let Some((_, members)) = self.parsed.as_ref().filter(|(known, _)| known == names) {
+        if let Some((_, members)) = self.parsed.as_ref().filter(|(cached_names, _)| cached_names == names) {
             return Ok(members.clone());
         }
         let members = wire::parse_members(&self.lines, names)?;
@@ -45,28 +55,30 @@
 }
 
 impl InstanceHost {
+    /// The instance that the message concerns.
     fn current_instance(&self, message: &str) -> Result<u64, ParseError> {
         self.current.ok_or_else(|| format!("{message}: no CONTEXT before it"))
     }
 
+    /// Delivers an event to the current instance.
     fn deliver(&mut self, message: &str, event: Event) -> Result<(), ParseError> {
-        let relay = self.current_instance(message)?;
-        let instance = self.instances.get_mut(&relay);
-        let instance = instance.ok_or_else(|| format!("{message}: relay {relay} has no INIT"))?;
-        instance.balancer.handle(self.now, event, self.replies.entry(relay).or_default());
+        let instance_id = self.current_instance(message)?;
+        let instance = self.instances.get_mut(&instance_id);
+        let instance = instance.ok_or_else(|| format!("{message}: relay {instance_id} has no INIT"))?;
+        instance.balancer.handle(self.now, event, self.actions.entry(instance_id).or_default());
         Ok(())
     }
 
-    /// Takes one line; true when a reply is due.
-    fn take(&mut self, text: &str) -> Result<bool, ParseError> {
+    /// Handles one line; true at the end of a batch, when a reply is due.
+    fn handle_line(&mut self, text: &str) -> Result<bool, ParseError> {
         let line = wire::parse_line(text)?;
-        if let Some((list, wanted, mut lines)) = self.filling.take() {
+        if let Some((list, expected, mut lines)) = self.incomplete_page.take() {
             let Line::Entry(entry) = line else {
-                return Err(format!("PAGE: list {list} has fewer than {wanted} items"));
+                return Err(format!("PAGE: list {list} has fewer than {expected} items"));
             };
             lines.push(entry);
-            if lines.len() < wanted {
-                self.filling = Some((list, wanted, lines));
+            if lines.len() < expected {
+                self.incomplete_page = Some((list, expected, lines));
             } else {
                 self.pages.insert(list, Page { lines: Rc::new(lines), parsed: None });
             }
@@ -83,22 +95,22 @@
                 self.in_batch = false;
                 return Ok(true);
             }
-            Line::Context(relay) => self.current = Some(relay),
+            Line::Context(instance_id) => self.current = Some(instance_id),
             Line::Init(seed, json) => {
-                let relay = self.current_instance("INIT")?;
+                let instance_id = self.current_instance("INIT")?;
                 let (settings, names) = wire::parse_settings(&json)?;
                 let balancer = Balancer::new(settings, seed).map_err(|e| format!("INIT {e}"))?;
-                self.replies.remove(&relay);
-                self.instances.insert(relay, Instance { balancer, names });
+                self.actions.remove(&instance_id);
+                self.instances.insert(instance_id, Instance { balancer, names });
             }
             Line::Page(list, 0) => {
                 self.pages.insert(list, Page::default());
             }
-            Line::Page(list, wanted) => self.filling = Some((list, wanted, Vec::new())),
+            Line::Page(list, expected) => self.incomplete_page = Some((list, expected, Vec::new())),
             Line::Entry(_) => return Err("M: no PAGE before it".to_string()),
             Line::Roster(kind, page) => {
-                let relay = self.current_instance("ROSTER_CHANGE")?;
-                let names = self.instances.get(&relay).map(|i| &i.names);
+                let instance_id = self.current_instance("ROSTER_CHANGE")?;
+                let names = self.instances.get(&instance_id).map(|i| &i.names);
                 let names = names.ok_or("ROSTER_CHANGE: no INIT before it")?;
                 let members = match page {
                     None => Arc::default(),
@@ -110,15 +122,15 @@
                 self.deliver("ROSTER_CHANGE", Event::Members { kind, members })?;
             }
             Line::Shutdown => {
-                let relay = self.current_instance("SHUTDOWN")?;
-                self.instances.remove(&relay);
-                self.replies.remove(&relay);
+                let instance_id = self.current_instance("SHUTDOWN")?;
+                self.instances.remove(&instance_id);
+                self.actions.remove(&instance_id);
             }
             Line::Event(text) => {
-                let relay = self.current_instance(&text)?;
+                let instance_id = self.current_instance(&text)?;
                 let name = text.split(' ').next().unwrap_or("");
-                let names = self.instances.get(&relay).map(|i| &i.names);
-                let names = names.ok_or_else(|| format!("{name}: relay {relay} has no INIT"))?;
+                let names = self.instances.get(&instance_id).map(|i| &i.names);
+                let names = names.ok_or_else(|| format!("{name}: relay {instance_id} has no INIT"))?;
                 if let Some(event) = wire::parse_event(&text, names)? {
                     self.deliver(name, event)?;
                 }
@@ -127,11 +139,12 @@
         Ok(false)
     }
 
+    /// The reply to a batch: the actions of each instance that has any.
     fn reply(&mut self) -> String {
         let mut out = String::new();
-        for (relay, actions) in std::mem::take(&mut self.replies) {
+        for (instance_id, actions) in std::mem::take(&mut self.actions) {
             if !actions.is_empty() {
-                out.push_str(&format!("BY {relay}\n"));
+                out.push_str(&format!("BY {instance_id}\n"));
                 actions.iter().for_each(|action| wire::write_action(action, &mut out));
             }
         }
@@ -140,6 +153,7 @@
     }
 }
 
+/// Serves batches until the input ends.
 fn run() -> Result<(), ParseError> {
     let mut host = InstanceHost::default();
     let mut out = std::io::stdout().lock();
@@ -151,7 +165,7 @@
         if read == 0 {
             return if host.in_batch { Err("input ends within a batch".into()) } else { Ok(()) };
         }
-        if host.take(text.trim_end_matches(['\n', '\r']))? {
+        if host.handle_line(text.trim_end_matches(['\n', '\r']))? {
             let reply = host.reply();
             let sent = out.write_all(reply.as_bytes()).and_then(|()| out.flush());
             sent.map_err(|e| format!("standard output: {e}"))?;
@@ -162,8 +176,8 @@
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("pierloom-adapter: {fault}");
+        Err(error) => {
+            eprintln!("pierloom-adapter: {error}");
             ExitCode::FAILURE
         }
     }
