--- a/crates/wire/tests/wire.rs
+++ b/crates/wire/tests/wire.rs
@@ -1,20 +1,24 @@
-//! The wire: strict parsing, plain complaints, exact printing, and the host as a process.
+//! Tests of the bench's line protocol: strict parsing, one-line errors, exact output, and the adapter as a
+//! process.
 
 use pierloom_decision::*;
 use pierloom_wire::{self as wire, Line};
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
+/// Settings with two keys that the parser ignores.
 const SETTINGS: &str = r#"{"balancers": 2, "zone": "a", "zones": ["a", "b"], "membership-mode": "push",
  "unheard-of": {"x": 1}, "over-share-worth": null, "weights": "nominal",
  "bounds": {"max-attempts": 3, "connect-timeout": 0.25, "retry-after": true, "max-retry-after": 2.0},
  "classes": [{"name": "feed", "target": 0.3, "deadline": 1.2, "effect": "repeatable", "group": "all"}]}"#;
 
-fn one_line() -> String {
+/// The settings on one line, as `INIT` carries them.
+fn settings_json() -> String {
     SETTINGS.replace('\n', "")
 }
 
-fn host(input: &str) -> Output {
+/// Runs the adapter on this input until it ends.
+fn run_adapter(input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_pierloom-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -25,9 +29,11 @@
     child.wait_with_output().unwrap()
 }
 
+/// Guards against a stated setting that is lost, a default that replaces it, and unknown keys or nulls that
+/// are refused.
 #[test]
-fn settings_keep_what_is_stated_and_default_the_rest() {
-    let (settings, _) = wire::parse_settings(&one_line()).unwrap();
+fn stated_settings_are_kept_and_others_get_defaults() {
+    let (settings, _) = wire::parse_settings(&settings_json()).unwrap();
     assert_eq!(settings.proxies, 2);
     assert_eq!(settings.classes[0].deadline, 1_200_000);
     assert_eq!(settings.connect_timeout, 250_000);
@@ -35,17 +41,20 @@
     assert!(!settings.ask_for_list && settings.sized_weights && settings.retry_after);
 }
 
+/// Guards against an error about settings that does not say which key is missing or invalid.
 #[test]
-fn settings_that_lack_something_needed_name_the_key() {
-    let fault = wire::parse_settings(r#"{"balancers": 2}"#).unwrap_err();
-    assert!(fault.contains("classes"), "{fault}");
-    let fault = wire::parse_settings(&one_line().replace("repeatable", "maybe")).unwrap_err();
-    assert!(fault.contains("effect"), "{fault}");
+fn missing_or_invalid_settings_are_refused_with_the_key_named() {
+    let error = wire::parse_settings(r#"{"balancers": 2}"#).unwrap_err();
+    assert!(error.contains("classes"), "{error}");
+    let error = wire::parse_settings(&settings_json().replace("repeatable", "maybe")).unwrap_err();
+    assert!(error.contains("effect"), "{error}");
 }
 
+/// Guards against optional settings that are ignored where they are stated, or accepted with an invalid
+/// value.
 #[test]
-fn rules_that_only_some_sites_have_are_read_and_checked() {
-    let with = |more: &str| one_line().replace("\"weights\"", &format!("{more}, \"weights\""));
+fn optional_contract_and_goal_settings_are_read_and_checked() {
+    let with = |more: &str| settings_json().replace("\"weights\"", &format!("{more}, \"weights\""));
     let contract = r#""contract": {"extra-free": 3, "repeat-ratio": 0.03, "ratio-span": 5.0,
         "removal-not-binding": true}, "goal": {"nines-part": 0.2, "top-nines": 2.0}"#;
     let (settings, _) = wire::parse_settings(&with(contract)).unwrap();
@@ -60,13 +69,15 @@
         (r#""contract": {"removal-not-binding": 1}"#, "contract.removal-not-binding"),
         (r#""goal": {"top-nines": -2}"#, "goal.top-nines"),
     ] {
-        let fault = wire::parse_settings(&with(bad)).unwrap_err();
-        assert!(fault.contains(field) && !fault.contains('\n'), "{fault}");
-        let out = host(&format!("MARK 1\nCONTEXT 0\nINIT 7 {}\nEOF_BATCH\n", with(bad)));
-        assert!(!out.status.success(), "{field} is refused by the host too");
+        let error = wire::parse_settings(&with(bad)).unwrap_err();
+        assert!(error.contains(field) && !error.contains('\n'), "{error}");
+        let out = run_adapter(&format!("MARK 1\nCONTEXT 0\nINIT 7 {}\nEOF_BATCH\n", with(bad)));
+        assert!(!out.status.success(), "{field} is refused by the adapter too");
     }
 }
 
+/// Guards against a balancer that starts with a value it cannot work with, and an error that does not name
+/// the value.
 #[test]
 fn settings_out_of_range_are_refused_and_the_field_is_named() {
     let base = Settings::default();
@@ -93,14 +104,16 @@
         ("\"deadline\": 1.2", "\"deadline\": 0", "classes[].deadline"),
         ("\"max-attempts\": 3", "\"max-attempts\": 0", "max_attempts"),
     ] {
-        let fault = wire::parse_settings(&one_line().replace(from, to)).unwrap_err();
-        assert_eq!(fault, format!("INIT settings: {field} is out of range"));
+        let error = wire::parse_settings(&settings_json().replace(from, to)).unwrap_err();
+        assert_eq!(error, format!("INIT settings: {field} is out of range"));
     }
 }
 
+/// Guards against fields of `M` and `ACCEPT` that are mixed up, and against absent values (`-`) and unknown
+/// classes that are not recognized.
 #[test]
-fn entries_and_requests_are_read() {
-    let (_, names) = wire::parse_settings(&one_line()).unwrap();
+fn endpoint_entries_and_requests_are_parsed() {
+    let (_, names) = wire::parse_settings(&settings_json()).unwrap();
     let member = wire::parse_member("M cordoned fast b 4 1.5 6.1 10.0.0.1:7000", &names).unwrap();
     assert_eq!((member.state, member.zone, member.cell), (MemberState::Draining, 1, 4));
     assert_eq!((member.weight, member.started), (1.5, 6_100_000));
@@ -114,9 +127,10 @@
     assert_eq!((request.class, request.key, request.load_hint), (usize::MAX, None, None));
 }
 
+/// Guards against a status code that is mapped to another result, or an unknown code that is accepted.
 #[test]
-fn every_status_is_read_and_others_are_not() {
-    let (_, names) = wire::parse_settings(&one_line()).unwrap();
+fn every_known_status_is_parsed_and_an_unknown_one_is_refused() {
+    let (_, names) = wire::parse_settings(&settings_json()).unwrap();
     let all = [
         (200, Status::Ok),
         (502, Status::Error),
@@ -129,15 +143,16 @@
     ];
     for (code, status) in all {
         let text = format!("COMPLETED 7 0 0.5 10.0.0.1:7000 {code} 1 0.5,-,3");
-        let Some(Event::AttemptEnded(ended)) = wire::parse_event(&text, &names).unwrap() else { panic!() };
-        assert_eq!((ended.status, ended.attempt, ended.latency), (status, 1, 500_000));
+        let Some(Event::AttemptEnded(result)) = wire::parse_event(&text, &names).unwrap() else { panic!() };
+        assert_eq!((result.status, result.attempt, result.latency), (status, 1, 500_000));
     }
-    let fault = wire::parse_event("COMPLETED 7 0 0.5 10.0.0.1:7000 418 1 -", &names).unwrap_err();
-    assert_eq!(fault, "COMPLETED: field how has the bad value \"418\"");
+    let error = wire::parse_event("COMPLETED 7 0 0.5 10.0.0.1:7000 418 1 -", &names).unwrap_err();
+    assert_eq!(error, "COMPLETED: field how has the bad value \"418\"");
 }
 
+/// Guards against an action whose line the bench cannot read.
 #[test]
-fn actions_print_as_the_wire_words_them() {
+fn actions_are_written_in_wire_format() {
     let backend: BackendId = "10.0.0.1:7000".into();
     let actions = [
         Action::Send { id: 5, backend, until: 8_492_250 },
@@ -155,8 +170,9 @@
     assert_eq!(out, expected);
 }
 
+/// Guards against malformed lines that are accepted, with missing, surplus or invalid fields.
 #[test]
-fn lines_are_told_apart() {
+fn known_lines_are_parsed_and_malformed_ones_are_refused() {
     assert!(matches!(wire::parse_line("MARK 8.41225"), Ok(Line::Mark(8_412_250))));
     assert!(matches!(
         wire::parse_line("ROSTER_CHANGE 41 0 cached"),
@@ -171,32 +187,38 @@
     }
 }
 
+/// Guards against an adapter that loses a message between its input and the decision module, or an action on
+/// the way back.
 #[test]
-fn a_whole_exchange() {
+fn a_complete_exchange_gets_the_expected_replies() {
     let input = format!(
         "MARK 1\nEOF_BATCH\nMARK 8\nCONTEXT 3\nINIT 9 {}\nPAGE 0 1\nM healthy fast a 0 1 - 10.0.0.1:7000\n\
          ROSTER_CHANGE 41 0 cached\nACCEPT 5 feed - user:k 9.2 - - 0\nEOF_BATCH\n\
          MARK 8.1\nCONTEXT 3\nSHUTDOWN\nEOF_BATCH\n",
-        one_line()
+        settings_json()
     );
-    let output = host(&input);
+    let output = run_adapter(&input);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     let replies = String::from_utf8(output.stdout).unwrap();
     assert_eq!(replies, "EOR\nBY 3\nWAKE_ME 1.200000 0\nHAND_OFF 5 10.0.0.1:7000 8.400000\nEOR\nEOR\n");
 }
 
+/// Guards against actions of an instance that was shut down, sent in the name of the instance that replaced
+/// it.
 #[test]
-fn a_restart_within_a_batch_forgets_everything() {
-    let start = format!("INIT 9 {}\nPAGE 0 0\nROSTER_CHANGE 41 0 cached\n", one_line());
+fn a_restart_within_a_batch_drops_state_and_pending_actions() {
+    let start = format!("INIT 9 {}\nPAGE 0 0\nROSTER_CHANGE 41 0 cached\n", settings_json());
     let input = format!("MARK 8\nCONTEXT 3\n{start}ACCEPT 5 feed - k 9 - - 0\nSHUTDOWN\n{start}EOF_BATCH\n");
-    let output = host(&input);
+    let output = run_adapter(&input);
     assert_eq!(String::from_utf8(output.stdout).unwrap(), "BY 3\nWAKE_ME 1.200000 0\nEOR\n");
 }
 
+/// Guards against an adapter that goes on after malformed input, or whose error does not name the message or
+/// field.
 #[test]
-fn malformed_input_gets_one_line_and_a_failure() {
-    let start = format!("MARK 8\nCONTEXT 3\nINIT 9 {}\n", one_line());
-    for (bad, told) in [
+fn malformed_input_gets_one_error_line_and_a_failure_exit() {
+    let start = format!("MARK 8\nCONTEXT 3\nINIT 9 {}\n", settings_json());
+    for (bad, expected) in [
         ("NOISE 1\n", "NOISE"),
         ("ROSTER_CHANGE 41 7 full\n", "list"),
         ("GONE x\n", "ref"),
@@ -205,33 +227,34 @@
         ("CONTEXT 4\nDUE 1\n", "INIT"),
         ("M healthy fast a 0 1 - b\n", "PAGE"),
     ] {
-        let output = host(&format!("{start}{bad}EOF_BATCH\n"));
-        let fault = String::from_utf8(output.stderr).unwrap();
+        let output = run_adapter(&format!("{start}{bad}EOF_BATCH\n"));
+        let error = String::from_utf8(output.stderr).unwrap();
         assert!(!output.status.success() && output.stdout.is_empty(), "{bad}");
-        assert!(fault.lines().count() == 1 && fault.contains(told), "{bad}: {fault}");
+        assert!(error.lines().count() == 1 && error.contains(expected), "{bad}: {error}");
     }
 }
 
-/// Guards against a proxy that will not start, or divides by nothing, over a count that it only tunes by.
+/// Guards against a proxy that does not start, or divides by zero, because of an invalid number of proxies,
+/// which only tunes its decisions.
 #[test]
-fn a_count_of_relays_that_cannot_be_is_met_with_a_default_and_one_doubt() {
-    let read = |stated: &str| wire::parse_settings(&SETTINGS.replace("\"balancers\": 2,", stated)).unwrap();
-    let (settings, names) = read("\"balancers\": 100,");
+fn an_invalid_number_of_proxies_gets_the_default_and_one_warning() {
+    let parse = |stated: &str| wire::parse_settings(&SETTINGS.replace("\"balancers\": 2,", stated)).unwrap();
+    let (settings, names) = parse("\"balancers\": 100,");
     assert_eq!((settings.proxies, names.warnings.len()), (100, 0));
     for stated in ["0", "-3", "2.5", "1e12", "99999999999", "\"many\"", "[1]", "null"] {
-        let (settings, names) = read(&format!("\"balancers\": {stated},"));
+        let (settings, names) = parse(&format!("\"balancers\": {stated},"));
         assert_eq!(settings.proxies, 1_000, "{stated}");
         assert_eq!(names.warnings.len(), 1, "{stated}");
         assert!(names.warnings[0].contains("balancers is"), "{}", names.warnings[0]);
     }
-    let (settings, names) = read("");
+    let (settings, names) = parse("");
     assert_eq!((settings.proxies, names.warnings.len()), (1_000, 1));
     assert!(names.warnings[0].contains("balancers is not stated"), "{}", names.warnings[0]);
 }
 
-// Guards against sums of times that leave their range.
+/// Guards against overflow in sums of very long times.
 #[test]
-fn times_beyond_thirty_years_count_as_that() {
+fn times_beyond_thirty_years_are_capped() {
     let classes = r#""classes":[{"name":"a","target":1e300,"deadline":1e300,"window":1e308}]"#;
     let (settings, _) = pierloom_wire::parse_settings(&format!("{{\"balancers\":3,{classes}}}")).unwrap();
     let class = &settings.classes[0];
