--- a/crates/decision/tests/property.rs
+++ b/crates/decision/tests/property.rs
@@ -1,5 +1,6 @@
-//! Random legal event sequences against a model of what the bench would do; the rules that can be seen
-//! from outside must hold. The seed is fixed, so the verdict is always the same.
+//! Property test: random valid event sequences, checked against a model of requests, endpoints and retries.
+//! The rules that are visible from outside the decision module must hold. The seed is fixed, so the result is
+//! reproducible.
 
 use pierloom_decision::*;
 use proptest::prelude::*;
@@ -17,90 +18,114 @@
     Status::NotSent,
 ];
 
-struct Open {
+/// The model's state of one request.
+struct RequestModel {
     class: usize,
     deadline: Micros,
     attempts: u32,
-    out: bool,
-    standing: bool,
+    attempt_in_progress: bool,
+    established: bool,
     may_have_run: bool,
     answered: bool,
     sent_at: Micros,
 }
 
+/// What the host would know: requests, endpoints, timers and probes.
 #[derive(Default)]
-struct World {
-    requests: BTreeMap<RequestId, Open>,
-    states: BTreeMap<BackendId, MemberState>,
+struct Model {
+    requests: BTreeMap<RequestId, RequestModel>,
+    /// State of each backend that a list ever named.
+    member_states: BTreeMap<BackendId, MemberState>,
+    /// Backends that were listed as draining and not as ready since.
     drained: BTreeSet<BackendId>,
     timers: Vec<(Micros, u64)>,
     probes: Vec<BackendId>,
-    /// What the attempt budget counts: requests accepted, and further attempts but moot ones.
+    /// Times that the retry budget counts: requests accepted, and retries except those never sent.
     accepted: Vec<Micros>,
-    further: Vec<Micros>,
+    retries: Vec<Micros>,
 }
 
+/// The effect of the class with this index.
 fn effect(class: usize) -> Effect {
     [Effect::Repeatable, Effect::Keyed(KeyScope::Zone), Effect::Once][class % 3]
 }
 
-impl World {
-    fn due(&mut self, now: Micros) -> Vec<u64> {
+impl Model {
+    /// Removes the timers that are due and returns their tokens.
+    fn take_due_timers(&mut self, now: Micros) -> Vec<u64> {
         let (due, later) = std::mem::take(&mut self.timers).into_iter().partition(|t| t.0 <= now);
         self.timers = later;
         let due: Vec<(Micros, u64)> = due;
         due.into_iter().map(|t| t.1).collect()
     }
 
+    /// Delivers an event and checks the actions that follow.
     fn deliver(
         &mut self,
         balancer: &mut Balancer,
         now: Micros,
         event: Event,
-        s: &Settings,
+        settings: &Settings,
     ) -> Result<(), TestCaseError> {
         let mut actions = Vec::new();
         balancer.handle(now, event, &mut actions);
-        self.check(now, &actions, s)
+        self.check(now, &actions, settings)
     }
 
-    fn check(&mut self, now: Micros, actions: &[Action], s: &Settings) -> Result<(), TestCaseError> {
+    /// Checks actions against the rules and records them.
+    fn check(&mut self, now: Micros, actions: &[Action], settings: &Settings) -> Result<(), TestCaseError> {
         for action in actions {
             match action {
                 Action::Send { id, backend, until } => {
-                    let open = self.requests.get_mut(id).unwrap();
-                    prop_assert!(!open.out && !open.answered, "two at once, or after the end");
-                    prop_assert!(open.attempts < s.max_attempts && *until <= open.deadline && *until > now);
-                    prop_assert!(!self.drained.contains(backend), "seen draining, not listed ready since");
-                    prop_assert!(!s.exclude_removed || self.states[backend] == MemberState::Ready);
-                    prop_assert!(self.states.contains_key(backend), "named by a list at some time");
-                    prop_assert!(!(open.may_have_run && effect(open.class) == Effect::Once));
-                    open.out = true;
-                    open.sent_at = now;
-                    open.attempts += 1;
-                    if open.attempts > 1 {
-                        self.further.push(now);
-                        if let Some(budget) = s.budget {
+                    let state = self.requests.get_mut(id).unwrap();
+                    prop_assert!(
+                        !state.attempt_in_progress && !state.answered,
+                        "two attempts at once, or one after the final answer"
+                    );
+                    prop_assert!(
+                        state.attempts < settings.max_attempts && *until <= state.deadline && *until > now
+                    );
+                    prop_assert!(!self.drained.contains(backend), "was draining and not listed ready since");
+                    prop_assert!(
+                        !settings.exclude_removed || self.member_states[backend] == MemberState::Ready
+                    );
+                    prop_assert!(self.member_states.contains_key(backend), "was never named by a list");
+                    prop_assert!(!(state.may_have_run && effect(state.class) == Effect::Once));
+                    state.attempt_in_progress = true;
+                    state.sent_at = now;
+                    state.attempts += 1;
+                    if state.attempts > 1 {
+                        self.retries.push(now);
+                        if let Some(budget) = settings.budget {
                             let within = |at: &&Micros| **at + budget.window > now;
-                            let taken = self.accepted.iter().filter(within).count() as f64;
-                            let further = self.further.iter().filter(within).count() as f64;
-                            let allowed = budget.min_retries + budget.ratio * taken;
-                            prop_assert!(further <= allowed, "{further} further, {allowed} allowed");
+                            let accepted = self.accepted.iter().filter(within).count() as f64;
+                            let retries = self.retries.iter().filter(within).count() as f64;
+                            let allowed = budget.min_retries + budget.ratio * accepted;
+                            prop_assert!(retries <= allowed, "{retries} retries, {allowed} allowed");
                         }
                     }
                 }
                 Action::Refuse { id, .. } | Action::Fail(id) => {
-                    let open = self.requests.get_mut(id).unwrap();
-                    prop_assert!(!open.answered && !open.out, "answered twice or with an attempt out");
-                    let promises = matches!(action, Action::Refuse { .. });
-                    let risky = open.may_have_run && effect(open.class) != Effect::Repeatable;
-                    prop_assert!(!(promises && risky), "a refusal that promises too much");
-                    open.answered = true;
+                    let state = self.requests.get_mut(id).unwrap();
+                    prop_assert!(
+                        !state.answered && !state.attempt_in_progress,
+                        "answered twice or with an attempt in progress"
+                    );
+                    let is_refusal = matches!(action, Action::Refuse { .. });
+                    let may_not_repeat = state.may_have_run && effect(state.class) != Effect::Repeatable;
+                    prop_assert!(
+                        !(is_refusal && may_not_repeat),
+                        "a refusal of a request that must not be repeated"
+                    );
+                    state.answered = true;
                 }
                 Action::Timer(after, token) => self.timers.push((now + after, *token)),
-                Action::Move(id) => prop_assert!(self.requests[id].standing),
+                Action::Move(id) => prop_assert!(self.requests[id].established),
                 Action::Probe(backend) => {
-                    prop_assert!(s.may_probe || s.load_report.is_some(), "probes are not allowed");
+                    prop_assert!(
+                        settings.may_probe || settings.load_report.is_some(),
+                        "a probe where none is allowed"
+                    );
                     self.probes.push(backend.clone());
                 }
                 Action::Subscribe => {}
@@ -110,7 +135,8 @@
     }
 }
 
-fn run(seed: u64, steps: &[(u8, u16, u8)]) -> Result<(), TestCaseError> {
+/// Runs one sequence of events; the seed also chooses the settings.
+fn run_sequence(seed: u64, steps: &[(u8, u16, u8)]) -> Result<(), TestCaseError> {
     let class = |i| Class {
         setup_target: 300_000,
         deadline: 1_200_000,
@@ -118,7 +144,7 @@
         effect: effect(i),
         repeat_window: 700_000,
     };
-    let s = Settings {
+    let settings = Settings {
         classes: (0..3).map(class).collect(),
         ask_for_list: seed.is_multiple_of(2),
         proxies: [1, 3, 400][seed as usize / 2 % 3],
@@ -131,18 +157,19 @@
         groups: true,
         ..Settings::default()
     };
-    let mut balancer = Balancer::new(s.clone(), seed).unwrap();
-    let mut world = World::default();
+    let mut balancer = Balancer::new(settings.clone(), seed).unwrap();
+    let mut model = Model::default();
     let mut now = 50_000_000;
     for (n, &(kind, pick, extra)) in steps.iter().enumerate() {
         now += u64::from(pick % 50) * 1_000;
-        for token in world.due(now) {
-            world.deliver(&mut balancer, now, Event::Timer(token), &s)?;
+        for token in model.take_due_timers(now) {
+            model.deliver(&mut balancer, now, Event::Timer(token), &settings)?;
         }
         let mut events = Vec::new();
-        let live: Vec<RequestId> = world.requests.iter().filter(|r| r.1.out).map(|r| *r.0).collect();
-        let one = (!live.is_empty()).then(|| live[pick as usize % live.len().max(1)]);
-        match (kind % 10, one) {
+        let in_progress: Vec<RequestId> =
+            model.requests.iter().filter(|r| r.1.attempt_in_progress).map(|r| *r.0).collect();
+        let picked = (!in_progress.is_empty()).then(|| in_progress[pick as usize % in_progress.len().max(1)]);
+        match (kind % 10, picked) {
             (0, _) => {
                 let mut member = Member::ready(&format!("10.0.0.{}:7000", extra % 6));
                 member.zone = u16::from(extra % 2);
@@ -154,10 +181,10 @@
                     1 => ListKind::Full,
                     _ => ListKind::Delta,
                 };
-                if kind != ListKind::Failed || s.ask_for_list {
+                if kind != ListKind::Failed || settings.ask_for_list {
                     let members = match kind {
                         ListKind::Failed => Vec::new(),
-                        // A complete list, long, of one, or shrunk to nothing.
+                        // A complete list may be long, have one entry, or be empty.
                         ListKind::Full if extra % 3 == 0 => Vec::new(),
                         ListKind::Full if extra % 3 == 1 => {
                             (0..150).map(|i| Member::ready(&format!("10.0.0.{i}:7000"))).collect()
@@ -165,13 +192,13 @@
                         _ => vec![member],
                     };
                     if kind == ListKind::Full {
-                        world.states.values_mut().for_each(|state| *state = MemberState::Gone);
+                        model.member_states.values_mut().for_each(|listed| *listed = MemberState::Gone);
                     }
                     for member in &members {
-                        world.states.insert(member.backend.clone(), member.state);
+                        model.member_states.insert(member.backend.clone(), member.state);
                         match member.state {
-                            MemberState::Ready => drop(world.drained.remove(&member.backend)),
-                            MemberState::Draining => drop(world.drained.insert(member.backend.clone())),
+                            MemberState::Ready => drop(model.drained.remove(&member.backend)),
+                            MemberState::Draining => drop(model.drained.insert(member.backend.clone())),
                             MemberState::Gone => {}
                         }
                     }
@@ -181,40 +208,40 @@
             (1..=3, _) => {
                 let (id, class) = (n as u64 + 1, usize::from(extra % 3));
                 let deadline = now + u64::from(pick) * 20;
-                let open = Open {
+                let state = RequestModel {
                     class,
                     deadline,
                     attempts: 0,
-                    out: false,
-                    standing: false,
+                    attempt_in_progress: false,
+                    established: false,
                     may_have_run: false,
                     answered: false,
                     sent_at: 0,
                 };
-                world.accepted.push(now);
-                world.requests.insert(id, open);
+                model.accepted.push(now);
+                model.requests.insert(id, state);
                 let (key, group) = (Some(u64::from(extra)), Some(u64::from(extra % 7)));
                 let reconnecting = pick % 3 == 0;
                 let request = Request { id, class, key, group, deadline, reconnecting, ..Request::default() };
                 events.push(Event::Request(request));
             }
             (4, Some(id)) => {
-                let open = world.requests.get_mut(&id).unwrap();
-                if !open.standing && !open.answered {
-                    (open.standing, open.answered) = (true, true);
-                    let attempt = open.attempts - 1;
+                let state = model.requests.get_mut(&id).unwrap();
+                if !state.established && !state.answered {
+                    (state.established, state.answered) = (true, true);
+                    let attempt = state.attempts - 1;
                     events.push(Event::Established { id, attempt, latency: 5_000 });
                 }
             }
             (5, Some(id)) => {
-                world.requests.get_mut(&id).unwrap().answered = true;
+                model.requests.get_mut(&id).unwrap().answered = true;
                 events.push(Event::ClientGone(id));
             }
             (6, Some(id)) => events.push(Event::Measured(id, Measurement::Delay(u64::from(extra) * 1_000))),
             (8, _) => {
-                if let Some(backend) = world.probes.pop() {
+                if let Some(backend) = model.probes.pop() {
                     let status = STATUSES[usize::from(extra) % STATUSES.len()];
-                    // Some reports are empty, some say little, some too much.
+                    // Reports may be empty, valid, or have invalid values and one value too many.
                     let report = [vec![], vec![f64::from(pick) / 30_000.0], vec![-1.0, 5.0]];
                     let report = report[usize::from(extra) % 3].clone();
                     events.push(Event::Probed { backend, status, report });
@@ -222,17 +249,17 @@
             }
             (9, Some(id)) => events.push(Event::Measured(id, Measurement::Load(f64::from(pick)))),
             (_, Some(id)) => {
-                let open = world.requests.get_mut(&id).unwrap();
+                let state = model.requests.get_mut(&id).unwrap();
                 let status = STATUSES[usize::from(extra) % STATUSES.len()];
-                open.out = false;
-                open.standing = false;
-                open.may_have_run |= status.may_have_run();
-                open.answered |= status == Status::Ok;
-                if status == Status::NotSent && open.attempts > 1 {
-                    let at = world.further.iter().rposition(|at| *at == open.sent_at).unwrap();
-                    world.further.remove(at);
+                state.attempt_in_progress = false;
+                state.established = false;
+                state.may_have_run |= status.may_have_run();
+                state.answered |= status == Status::Ok;
+                if status == Status::NotSent && state.attempts > 1 {
+                    let at = model.retries.iter().rposition(|at| *at == state.sent_at).unwrap();
+                    model.retries.remove(at);
                 }
-                let (attempt, closed) = (open.attempts - 1, open.answered);
+                let (attempt, closed) = (state.attempts - 1, state.answered);
                 events.push(Event::AttemptEnded(AttemptResult {
                     id,
                     attempt,
@@ -244,17 +271,17 @@
             _ => {}
         }
         for event in events {
-            world.deliver(&mut balancer, now, event, &s)?;
+            model.deliver(&mut balancer, now, event, &settings)?;
         }
     }
-    // The end: attempts time out at the deadline, timers fall due, and everyone has an answer.
+    // Finally attempts time out at their deadline and timers fire, so that every request must get an answer.
     for _ in 0..2_000 {
         now += 20_000;
-        let mut events: Vec<Event> = world.due(now).into_iter().map(Event::Timer).collect();
-        for (&id, open) in &mut world.requests {
-            if open.out && !open.standing && open.deadline <= now {
-                (open.out, open.may_have_run) = (false, true);
-                let (attempt, closed) = (open.attempts - 1, open.answered);
+        let mut events: Vec<Event> = model.take_due_timers(now).into_iter().map(Event::Timer).collect();
+        for (&id, state) in &mut model.requests {
+            if state.attempt_in_progress && !state.established && state.deadline <= now {
+                (state.attempt_in_progress, state.may_have_run) = (false, true);
+                let (attempt, closed) = (state.attempts - 1, state.answered);
                 let status = Status::Timeout;
                 events.push(Event::AttemptEnded(AttemptResult {
                     id,
@@ -266,20 +293,22 @@
             }
         }
         for event in events {
-            world.deliver(&mut balancer, now, event, &s)?;
+            model.deliver(&mut balancer, now, event, &settings)?;
         }
     }
-    for (id, open) in &world.requests {
-        prop_assert!(open.answered, "request {} has no answer", id);
+    for (id, state) in &model.requests {
+        prop_assert!(state.answered, "request {} has no final answer", id);
     }
     Ok(())
 }
 
+/// Guards against a rule that holds in the cases of the other tests only: events may arrive in any valid
+/// order.
 #[test]
-fn the_rules_hold_on_random_legal_events() {
+fn the_rules_hold_for_random_valid_events() {
     let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     let mut runner = TestRunner::new_with_rng(config, rng);
     let steps = prop::collection::vec((any::<u8>(), any::<u16>(), any::<u8>()), 1..250);
-    runner.run(&(any::<u64>(), steps), |(seed, steps)| run(seed, &steps)).unwrap();
+    runner.run(&(any::<u64>(), steps), |(seed, steps)| run_sequence(seed, &steps)).unwrap();
 }
