--- a/crates/decision/tests/design.rs
+++ b/crates/decision/tests/design.rs
@@ -1,4 +1,5 @@
-//! One test for each clause of the design, with figures worked out by hand.
+//! One test for each clause of the design of admission and placement, with expected values calculated by
+//! hand.
 
 mod common;
 use common::*;
@@ -6,7 +7,8 @@
 
 const TIMER_ADMISSION: u64 = 0;
 
-/// Runs one tick of 2 s with `n` new clients set up after `delay` each; counts the refused.
+/// Runs one admission tick of 2 s with `n` new clients, each set up after `delay`; returns the number
+/// refused.
 fn tick(d: &mut Driver, first: RequestId, n: u64, delay: Micros) -> u64 {
     let mut refusals = 0;
     for id in first..first + n {
@@ -24,18 +26,22 @@
     refusals
 }
 
+/// Guards against refusals that follow from a single slow tick after the start.
 #[test]
-fn all_pass_while_there_is_no_curve() {
+fn all_requests_are_admitted_before_a_curve_is_learned() {
     let mut d = Driver::new(settings(), 4);
-    assert_eq!(tick(&mut d, 1_000, 40, 600 * MS), 0, "p is 1 before the first tick");
-    assert_eq!(tick(&mut d, 2_000, 40, 600 * MS), 0, "a slice of one tick is not trusted");
+    assert_eq!(tick(&mut d, 1_000, 40, 600 * MS), 0, "the admission probability is 1 before the first tick");
+    assert_eq!(tick(&mut d, 2_000, 40, 600 * MS), 0, "a bin of the curve with one tick is not trusted");
 }
 
+/// Guards against a balancer that admits everything, or nothing, because setups were slow at every rate it
+/// has seen.
 #[test]
-fn with_no_rate_that_meets_the_aim_the_lowest_trusted_rate_is_the_limit() {
+fn the_lowest_trusted_rate_is_the_limit_when_no_rate_meets_the_target() {
     let mut d = Driver::new(settings(), 4);
-    // Two ticks of 20 a second at twice the aim: one trusted slice, least p95 over the aim, limit 20 a
-    // second. The arrival average is 10, then 15, so p stays 1; at 80 a second it ends at 47.5: p = 0.42.
+    // Two ticks of 20 requests a second at twice the target give one trusted bin. The least p95 of a tick is
+    // over the target, so the limit is the rate of that bin, 20 a second. The mean arrival rate is 10, then
+    // 15, so the admission probability p stays 1. At 80 a second the mean ends at 47.5, so that p = 0.42.
     tick(&mut d, 1_000, 40, 600 * MS);
     tick(&mut d, 2_000, 40, 600 * MS);
     tick(&mut d, 3_000, 160, 600 * MS);
@@ -43,20 +49,24 @@
     assert!((70..=125).contains(&refusals), "{refusals} of 160 refused at p = 0.42 or less");
 }
 
+/// Guards against refusals without overload.
 #[test]
-fn set_ups_well_within_the_aim_refuse_nobody() {
+fn setups_well_within_the_target_are_all_admitted() {
     let mut d = Driver::new(settings(), 4);
-    for k in 1..8 {
-        assert_eq!(tick(&mut d, k * 1_000, 40, 30 * MS), 0);
+    for round in 1..8 {
+        assert_eq!(tick(&mut d, round * 1_000, 40, 30 * MS), 0);
     }
 }
 
+/// Guards against a sudden crowd that is admitted until the next tick, reconnecting clients that are refused
+/// with it, and refusals that go on after it.
 #[test]
-fn a_flash_crowd_is_cut_within_the_tick_and_returning_clients_pass() {
+fn a_flash_crowd_is_limited_within_the_tick_and_reconnecting_clients_are_admitted() {
     let mut d = Driver::new(settings(), 4);
     tick(&mut d, 1_000, 40, 600 * MS);
     tick(&mut d, 2_000, 40, 600 * MS);
-    // Limit 20 a second, chance deviation 3.2: more than 29.5 a second and more than 40 in the tick.
+    // The limit is 20 a second and the random deviation 3.2. Requests are refused within the tick once more
+    // than 29.5 a second and more than 40 in the tick were admitted.
     let mut refusals = 0;
     for id in 5_000..5_200 {
         refusals += u64::from(refused(&d.request(id)));
@@ -65,21 +75,24 @@
     assert!(refusals > 80, "{refusals} refused of 200 within a second");
     for id in 6_000..6_050 {
         let out = d.request_with(Request { id, reconnecting: true, ..Request::default() });
-        assert!(!refused(&out), "a reconnecting client is no newcomer");
+        assert!(!refused(&out), "a reconnecting client is not a new client");
     }
-    // The crowd ends: at one a second the mean rate falls under the limit in some ticks, and all pass again.
+    // The crowd ends: at one request a second the mean rate falls below the limit within some ticks, and then
+    // all requests are admitted again.
     for id in 7_000..7_020 {
         d.now += S;
         let out = d.request(id);
-        assert!(id < 7_012 || !refused(&out), "newcomer {id}");
+        assert!(id < 7_012 || !refused(&out), "new client {id}");
         if id % 2 == 0 {
             d.event(Event::Timer(TIMER_ADMISSION));
         }
     }
 }
 
+/// Guards against clients that lose their connection to admission control: they have a recent connection or
+/// are in the middle of one.
 #[test]
-fn lately_placed_keys_and_mid_flow_arrivals_pass() {
+fn recently_placed_keys_and_mid_flow_requests_are_admitted() {
     let mut d = Driver::new(settings(), 4);
     d.connect(42);
     d.ended(42, 0, Status::Reset, true);
@@ -90,30 +103,32 @@
         d.now += 5 * MS;
     }
     for id in 4_000..4_040 {
-        let known = d.request_with(Request { id, key: Some(42), ..Request::default() });
-        assert!(!refused(&known));
+        let known_key = d.request_with(Request { id, key: Some(42), ..Request::default() });
+        assert!(!refused(&known_key));
         let id = id + 500;
-        let flow = d.request_with(Request { id, key: Some(id), mid_flow: true, ..Request::default() });
-        assert!(!refused(&flow));
+        let mid_flow = d.request_with(Request { id, key: Some(id), mid_flow: true, ..Request::default() });
+        assert!(!refused(&mid_flow));
     }
 }
 
+/// Guards against placement that ignores the load of the two backends of a key.
 #[test]
-fn a_key_meets_two_backends_and_takes_the_one_with_less() {
+fn a_key_uses_the_less_loaded_of_its_two_backends() {
     let mut d = Driver::new(settings(), 12);
-    let key = |id| Request { id, key: Some(9), ..Request::default() };
-    let first = sent(&d.request_with(key(1))).unwrap();
+    let request = |id| Request { id, key: Some(9), ..Request::default() };
+    let first = sent(&d.request_with(request(1))).unwrap();
     d.established(1, 0, MS);
-    let second = sent(&d.request_with(key(2))).unwrap();
+    let second = sent(&d.request_with(request(2))).unwrap();
     d.established(2, 0, MS);
-    assert_ne!(first, second, "the first holds one already");
+    assert_ne!(first, second, "the first backend already has a connection");
     d.ended(1, 0, Status::Ok, true);
     d.ended(2, 0, Status::Ok, true);
-    assert_eq!(sent(&d.request_with(key(3))), Some(first), "ties go to the first");
+    assert_eq!(sent(&d.request_with(request(3))), Some(first), "equal load goes to the first backend");
 }
 
+/// Guards against packets of one connection that go to different backends.
 #[test]
-fn mid_flow_arrivals_go_to_the_first_entry() {
+fn mid_flow_requests_go_to_the_first_backend_of_their_key() {
     let mut d = Driver::new(settings(), 12);
     let flow = |id| Request { id, key: Some(9), mid_flow: true, ..Request::default() };
     let first = sent(&d.request_with(flow(1)));
@@ -122,8 +137,10 @@
     }
 }
 
+/// Guards against proxies that place the same key at different backends because of their seeds or the order
+/// of the list.
 #[test]
-fn relays_with_other_seeds_build_the_same_table() {
+fn proxies_with_different_seeds_build_the_same_table() {
     let mut a = Driver::new(settings(), 12);
     let mut b = Driver { balancer: Balancer::new(settings(), 99).unwrap(), now: a.now };
     b.list(ListKind::Full, members(12).into_iter().rev().collect());
