--- a/crates/decision/tests/freshness.rs
+++ b/crates/decision/tests/freshness.rs
@@ -1,125 +1,130 @@
-//! How long what was told of a backend holds, where the list does not come.
+//! Tests of the maximum age of the endpoints: how long they are valid while discovery sends no update.
 
 mod common;
 
 use common::*;
 use pierloom_decision::*;
 
-const BINDS: Micros = 6 * S;
-const MOVED: Micros = 4 * S;
+const MAX_AGE: Micros = 6 * S;
+const MAX_AGE_AFTER_MOVE: Micros = 4 * S;
 
-fn settings_that_bind() -> Settings {
+fn settings_with_max_age() -> Settings {
     Settings {
-        max_endpoints_age: Some(BINDS),
-        max_endpoints_age_after_move: MOVED,
+        max_endpoints_age: Some(MAX_AGE),
+        max_endpoints_age_after_move: MAX_AGE_AFTER_MOVE,
         ask_for_list: true,
         ..settings()
     }
 }
 
-/// A fleet of two whose list was told at 100 s.
-fn fleet() -> Driver {
-    Driver::new(settings_that_bind(), 2)
+/// A balancer with two backends whose endpoint list arrived at 100 s.
+fn new_driver() -> Driver {
+    Driver::new(settings_with_max_age(), 2)
 }
 
+/// Reports a call to discovery that failed in this way.
 fn failed_call(driver: &mut Driver, kind: ListKind) {
     driver.list(kind, Vec::new());
 }
 
+/// Guards against an attempt at a backend that discovery may have reported as leaving in an update that did
+/// not arrive.
 #[test]
-fn nothing_new_goes_where_news_may_bind_that_did_not_come() {
-    let mut driver = fleet();
-    driver.now += BINDS - 1;
+fn nothing_new_is_sent_once_the_endpoints_exceed_their_maximum_age() {
+    let mut driver = new_driver();
+    driver.now += MAX_AGE - 1;
     failed_call(&mut driver, ListKind::Failed);
-    assert!(sent(&driver.request(1)).is_some(), "the list holds up to then");
+    assert!(sent(&driver.request(1)).is_some(), "the endpoints are valid until their maximum age");
     driver.now += 1;
     assert!(
         !driver.balancer.may_send_attempt(driver.now, 1),
-        "nor does what was chosen before and is not written"
+        "an attempt that is not sent yet may not be sent any more"
     );
     let actions = driver.request(2);
     assert!(sent(&actions).is_none() && refused(&actions), "{actions:?}");
     driver.list(ListKind::Delta, Vec::new());
-    assert!(
-        sent(&driver.request(3)).is_some(),
-        "an answer that brings nothing new tells that the list holds"
-    );
+    assert!(sent(&driver.request(3)).is_some(), "an update without changes confirms the endpoints");
 }
 
-// A draining backend takes requests: that one came up there proves nothing.
+/// Guards against endpoints that count as confirmed because a connection was established. That proves
+/// nothing, as a draining backend accepts connections too.
 #[test]
-fn a_connection_at_a_backend_tells_nothing_of_what_is_announced() {
-    let mut driver = fleet();
+fn a_connection_at_a_backend_does_not_renew_the_endpoints() {
+    let mut driver = new_driver();
     let name = members(2)[0].backend.clone();
     driver.now += 4 * S;
     driver.event(Event::Resumed(Request { id: 1, ..Request::default() }, name));
     driver.connect(2);
-    driver.now = 100 * S + BINDS;
+    driver.now = 100 * S + MAX_AGE;
     assert!(refused(&driver.request(3)));
 }
 
+/// Guards against an outage of discovery that stops all proxies: what cannot be reached need not be obeyed.
 #[test]
-fn time_in_which_the_list_is_known_to_be_out_of_reach_does_not_count() {
-    let mut driver = fleet();
+fn time_without_a_connection_to_discovery_does_not_count() {
+    let mut driver = new_driver();
     for _ in 0..20 {
         driver.now += S;
         failed_call(&mut driver, ListKind::Unreachable);
     }
     assert!(sent(&driver.request(1)).is_some());
-    // It is there again, and refuses: from then on what it has binds. The second before the first call that did not
-    // reach it counts too.
-    driver.now += BINDS - S - 1;
+    // Discovery can be reached again but refuses the call. From then on its endpoints must be obeyed. The
+    // second before the first call that did not reach it counts too.
+    driver.now += MAX_AGE - S - 1;
     failed_call(&mut driver, ListKind::Failed);
     assert!(sent(&driver.request(2)).is_some());
     driver.now += 1;
     assert!(refused(&driver.request(3)));
 }
 
-// Guards against a list that is held longer than it may be: before the first call that did not reach discovery, and
-// after one that did, it could be reached, and what it had then binds.
+/// Guards against endpoints that are used longer than allowed. Before the first call that did not reach
+/// discovery, and after a call that did, discovery was reachable, and what it reported then must be obeyed.
 #[test]
-fn time_in_which_the_list_may_have_been_within_reach_counts() {
-    for (kind, at) in [(ListKind::Unreachable, 5 * S), (ListKind::Failed, 3 * S)] {
-        let mut driver = fleet();
-        driver.now += at;
+fn time_in_which_discovery_may_have_been_reachable_counts() {
+    for (kind, elapsed) in [(ListKind::Unreachable, 5 * S), (ListKind::Failed, 3 * S)] {
+        let mut driver = new_driver();
+        driver.now += elapsed;
         failed_call(&mut driver, kind);
         driver.now = 100 * S + 5 * S;
         failed_call(&mut driver, ListKind::Unreachable);
-        driver.now = 100 * S + BINDS;
+        driver.now = 100 * S + MAX_AGE;
         assert!(refused(&driver.request(1)), "{kind:?}");
     }
 }
 
+/// Guards against refusals for old endpoints where the settings state no maximum age.
 #[test]
-fn where_no_such_time_is_stated_a_list_holds_until_the_next() {
-    let mut driver = Driver::new(Settings { max_endpoints_age: None, ..settings_that_bind() }, 2);
-    driver.now += 100 * BINDS;
+fn without_a_maximum_age_the_endpoints_stay_valid_until_the_next_update() {
+    let mut driver = Driver::new(Settings { max_endpoints_age: None, ..settings_with_max_age() }, 2);
+    driver.now += 100 * MAX_AGE;
     failed_call(&mut driver, ListKind::Failed);
     assert!(sent(&driver.request(1)).is_some());
 }
 
-// Guards against an upgrade by which a list that is nearly out of date counts as told anew.
+/// Guards against an upgrade after which endpoints close to their maximum age count as new.
 #[test]
-fn a_list_that_was_taken_over_is_as_old_as_it_was() {
-    let mut before = fleet();
-    before.now += 4 * S;
-    let mut after = Driver { balancer: Balancer::new(settings_that_bind(), 8).unwrap(), now: before.now };
-    after.list(ListKind::Full, members(2));
-    after.event(Event::LearnedState(Box::new(before.balancer.learned_state())));
-    after.now = 100 * S + BINDS - 1;
-    assert!(sent(&after.request(1)).is_some());
-    after.now += 1;
-    assert!(refused(&after.request(2)));
+fn endpoints_taken_over_at_an_upgrade_keep_their_age() {
+    let mut predecessor = new_driver();
+    predecessor.now += 4 * S;
+    let mut successor =
+        Driver { balancer: Balancer::new(settings_with_max_age(), 8).unwrap(), now: predecessor.now };
+    successor.list(ListKind::Full, members(2));
+    successor.event(Event::LearnedState(Box::new(predecessor.balancer.learned_state())));
+    successor.now = 100 * S + MAX_AGE - 1;
+    assert!(sent(&successor.request(1)).is_some());
+    successor.now += 1;
+    assert!(refused(&successor.request(2)));
 }
 
-// Guards against a list that counts as told because the service before still says that nothing is new.
+/// Guards against endpoints that count as confirmed because the previous discovery service still reports no
+/// changes.
 #[test]
-fn a_service_that_moved_binds_from_its_move_until_it_tells_its_list() {
-    let mut driver = fleet();
+fn after_a_move_of_discovery_only_a_full_list_renews_the_endpoints() {
+    let mut driver = new_driver();
     driver.now += 5 * S;
     driver.list(ListKind::Delta, Vec::new());
     driver.list(ListKind::DiscoveryMoved, Vec::new());
-    driver.now += MOVED - 1;
+    driver.now += MAX_AGE_AFTER_MOVE - 1;
     driver.list(ListKind::Delta, Vec::new());
     assert!(sent(&driver.request(1)).is_some());
     driver.now += 1;
@@ -128,14 +133,15 @@
     assert!(sent(&driver.request(3)).is_some());
 }
 
-// Guards against a list that counts as told because staff took a backend out or gave it back.
+/// Guards against endpoints that count as confirmed because operators put a backend into maintenance or
+/// returned it to service.
 #[test]
-fn what_staff_say_of_a_backend_tells_nothing_of_the_list() {
-    let mut driver = fleet();
+fn maintenance_of_a_backend_does_not_renew_the_endpoints() {
+    let mut driver = new_driver();
     let name = members(2)[0].backend.clone();
     driver.now += 4 * S;
     driver.event(Event::Maintenance(name.clone(), true));
     driver.event(Event::Maintenance(name, false));
-    driver.now = 100 * S + BINDS;
+    driver.now = 100 * S + MAX_AGE;
     assert!(refused(&driver.request(1)));
 }
