--- a/crates/decision/src/api.rs
+++ b/crates/decision/src/api.rs
@@ -347,8 +347,8 @@
     pub closed: bool,
 }
 
-/// An event that the host delivers to the balancer. Unless another message is named, the bench has no message
-/// for it.
+/// An event that the host delivers to the balancer as soon as it happens. Where no message is named, the
+/// bench has none.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// Discovery reported the endpoint list or changes of it, or a call to discovery failed. Message
@@ -360,12 +360,14 @@
         members: Arc<[Member]>,
     },
     /// Operators put a backend into maintenance (true) or returned it to service (false). A backend in
-    /// maintenance gets nothing new, whatever the endpoint list reports. A proxy sends this for a call to its
-    /// console or for a mark of its predecessor.
+    /// maintenance gets nothing new, whatever the endpoint list reports. A proxy sends this when an operator
+    /// calls its console, when a peer process reports such a call, and at its start for the backends that it
+    /// stored as in maintenance.
     Maintenance(BackendId, bool),
     /// State that the predecessor's module learned. Sent once at an upgrade, after the endpoint list.
     LearnedState(Box<crate::LearnedState>),
-    /// A client's request arrived; the host must get exactly one final answer for it. Message `ACCEPT`.
+    /// A client's request arrived. It gets exactly one final answer: an established connection,
+    /// [`Action::Refuse`] or [`Action::Fail`]. Message `ACCEPT`.
     Request(Request),
     /// A connection that another process established and that this one continues, with its backend. Message
     /// `OPEN`.
@@ -381,7 +383,8 @@
     },
     /// An attempt ended, before or after its connection was established. Message `COMPLETED`.
     AttemptEnded(AttemptResult),
-    /// The client left; its request needs no answer any more. Message `GONE`.
+    /// The client left; its request needs no answer any more. The end of an attempt in progress is still
+    /// reported. Message `GONE`.
     ClientGone(RequestId),
     /// The process is shutting down: every request that waits is answered, and no further attempt starts.
     Stopping,
@@ -405,7 +408,8 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt to a backend. The host reports [`Event::Established`] once the connection is
-    /// established, and [`Event::AttemptEnded`] at its end. Message `HAND_OFF`.
+    /// established, and [`Event::AttemptEnded`] at its end. A proxy asks
+    /// [`crate::Balancer::may_send_attempt`] before it writes the request to the backend. Message `HAND_OFF`.
     Send {
         /// The request.
         id: RequestId,
