--- a/crates/decision/src/learned_state.rs
+++ b/crates/decision/src/learned_state.rs
@@ -94,9 +94,9 @@
         LearnedState {
             since: self.started,
             set_ups: self.set_ups,
-            width: self.admission.width,
+            width: self.admission.bin_width,
             bins: self.admission.bins.clone(),
-            least_delay: finite(self.admission.least_delay),
+            least_delay: finite(self.admission.min_delay),
             arrival_rate: self.admission.arrival_rate,
             admit_probability: self.admission.admit_probability,
             slow_start_slots: self.slow_start_slots.iter().copied().collect(),
@@ -113,9 +113,9 @@
         // Guards against an old list that counts as told anew because another process holds it.
         self.freshness.updated_at = learned.updated_at.unwrap_or(self.freshness.updated_at);
         let admission = &mut self.admission;
-        (admission.width, admission.bins, admission.admit_probability) =
+        (admission.bin_width, admission.bins, admission.admit_probability) =
             (learned.width, learned.bins, learned.admit_probability);
-        admission.least_delay = learned.least_delay.unwrap_or(f64::INFINITY);
+        admission.min_delay = learned.least_delay.unwrap_or(f64::INFINITY);
         admission.arrival_rate = learned.arrival_rate;
         for (name, known) in learned.backends {
             let Some(&i) = self.index.get(name.as_str()) else { continue };
--- a/crates/decision/src/logic.rs
+++ b/crates/decision/src/logic.rs
@@ -107,7 +107,7 @@
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         if self.started.is_none() {
             self.started = Some(now);
-            self.admission.tick_at = now;
+            self.admission.tick_started_at = now;
             out.push(Action::Timer(self.admission.tick, TIMER_ADMISSION));
             if self.settings.delay_report.is_some() {
                 out.push(Action::Timer(EVALUATION_INTERVAL_US, TIMER_PROBES));
@@ -260,7 +260,7 @@
             self.admission.on_arrival(now);
             if self.rng.f64() >= self.admission.admit_probability {
                 // The limit is judged anew at the next tick.
-                let wait = (self.admission.tick_at + self.admission.tick).saturating_sub(now);
+                let wait = (self.admission.tick_started_at + self.admission.tick).saturating_sub(now);
                 return self.finish(&state, wait, out);
             }
             self.admission.on_admitted(now);
