--- a/crates/decision/src/logic.rs
+++ b/crates/decision/src/logic.rs
@@ -312,7 +312,7 @@
             state.tried.push(i);
         };
         // No other attempt follows one under the limit, so that it may use all the time there is.
-        let more = match self.setup_limit.limits() {
+        let more = match self.setup_limit.is_limited() {
             true => 1,
             false => u64::from(self.settings.max_attempts - state.attempts).min(ATTEMPT_PARTS),
         };
@@ -404,14 +404,14 @@
     /// Enters in the limit on set-ups how one ended that did not come up.
     fn enter_set_up(&mut self, now: Micros, status: Status, i: usize, sent: Micros, state: &RequestState) {
         match status {
-            Status::Ok => self.setup_limit.succeeded(),
+            Status::Ok => self.setup_limit.record_success(),
             Status::Error | Status::Timeout => {
                 let class = self.class(&state.request);
                 let (aim, deadline, at) =
                     (class.setup_target, class.deadline, (i, self.backends[i].member.zone));
-                self.setup_limit.failed(now, sent, at, aim, deadline);
+                self.setup_limit.record_failure(now, sent, at, aim, deadline);
             }
-            _ => self.setup_limit.end(),
+            _ => self.setup_limit.finish(),
         }
     }
 
--- a/crates/decision/src/setup_limit.rs
+++ b/crates/decision/src/setup_limit.rs
@@ -1,114 +1,139 @@
-//! A limit on set-ups while they fail at backends of all kinds alike: then it is nothing about any one backend but
-//! something that all of them need, such as a session store, that is overloaded or slow. Attempts at another backend and
-//! clients that come again only keep it so, long after its cause is over. Bounds for `logic`, which decides.
+//! A limit on connection setups for the time in which they fail at all kinds of backends alike. The cause is
+//! then not one backend but something that all of them need, such as a session store, that is overloaded or
+//! slow. Attempts at other backends and clients that reconnect only keep it overloaded, long after the first
+//! cause is over. This module keeps the bounds; `logic` decides.
 
 use crate::api::Micros;
 use std::collections::BTreeSet;
 
-/// Backends at which set-ups failed in a row, none succeeding between, from which the failure is a shared one. Two may
-/// be chance; where they lie in two zones, two are enough, as what is lost with a zone is in one.
-const SHARED: usize = 3;
-const SHARED_ZONES: usize = 2;
-/// Among many proxies, one at which none succeeded yet takes its first failure for a shared one: it has no reason to
-/// take another backend for better, and all those restarted in a storm would try a few times each.
-const SHARED_UNPROVEN: usize = 1;
-/// The first pause between set-ups is this part of the aim: long enough that one which is well would have answered.
-const FIRST_PAUSE_PART: Micros = 2;
-/// Tells this stream of chance from the proxy's others; any number does.
-const CHANCE: u64 = 0x5e70_0b17;
-/// A pause doubles with each that fails, up to so many of the longest deadlines: hundreds of proxies at one store are as
-/// slow together as it may be then, and try it within a quarter of a minute once it is well again.
-const GROWTH: u64 = 2;
-const LONGEST_PAUSES: u64 = 4;
-/// From so many set-ups at once that succeed without a failure, nothing is limited any more.
-const UNLIMITED: u32 = 8;
+/// Number of backends with failed setups, without a success in between, from which the cause counts as
+/// shared. Failures at two backends may be chance.
+const SHARED_FAILURE_BACKENDS: usize = 3;
+/// Number of zones with failed setups from which the cause counts as shared. Two are enough, as the loss of a
+/// zone affects the backends of one zone only.
+const SHARED_FAILURE_ZONES: usize = 2;
+/// The value of [`SHARED_FAILURE_BACKENDS`] in a large fleet for a proxy without a successful setup yet. Such
+/// a proxy has no reason to expect more of another backend, and after a mass restart all proxies would try
+/// several times each.
+const SHARED_FAILURE_BACKENDS_BEFORE_SUCCESS: usize = 1;
+/// The first pause between setups is the setup target divided by this: a healthy backend would have answered
+/// by then.
+const FIRST_PAUSE_DIVISOR: Micros = 2;
+/// Separates this random stream from the other streams of the proxy; any value does.
+const RNG_SEED_SALT: u64 = 0x5e70_0b17;
+/// The pause grows by this factor with each failure.
+const PAUSE_GROWTH_FACTOR: u64 = 2;
+/// The longest pause, in deadlines of the request's class. With it, even hundreds of proxies together are as
+/// slow as an overloaded shared store may need, and they still try the store within a quarter of a minute
+/// after it has recovered.
+const MAX_PAUSE_DEADLINES: u64 = 4;
+/// The limit is removed when it would reach this number of setups in progress, all having succeeded without a
+/// failure.
+const LIMIT_REMOVAL_THRESHOLD: u32 = 8;
 
-/// Set-ups of this proxy, whatever backend they are at.
+/// State of the limit on the connection setups of this proxy, at all backends together.
 #[derive(Debug)]
 pub(crate) struct SetupLimit {
-    /// A stream of its own: what is drawn here changes no other draw.
-    chance: fastrand::Rng,
-    /// Where set-ups failed since the last one that succeeded: backend and zone.
-    failed: BTreeSet<(usize, u16)>,
-    /// From how many backends in a row the failure is a shared one.
-    shared: usize,
-    /// Those under way.
-    under_way: u32,
-    /// The most that may be under way; none where nothing is limited.
-    most: Option<u32>,
-    /// Pause between two of them; 0 while they succeed.
+    /// A separate random stream, so that draws here change no other draw.
+    rng: fastrand::Rng,
+    /// Index and zone of each backend with a failed setup since the last success.
+    failed_backends: BTreeSet<(usize, u16)>,
+    /// Number of backends with failed setups from which the cause counts as shared.
+    shared_failure_backends: usize,
+    /// Setups in progress.
+    in_progress: u32,
+    /// The most setups that may be in progress; `None` while there is no limit.
+    max_in_progress: Option<u32>,
+    /// Pause between two setups; 0 while setups succeed.
     pause: Micros,
-    /// None begins before this.
+    /// No setup starts before this time.
     next_at: Micros,
-    /// When the limit was last lowered: what had begun before tells nothing new.
+    /// When the limit was last lowered. Failures of setups that started before then are no new information.
     lowered_at: Micros,
 }
 
 impl SetupLimit {
-    /// Nothing is limited; another seed at each of the proxies, which may be many.
-    pub fn new(seed: u64, many: bool) -> Self {
+    /// Starts without a limit. Each proxy has a seed of its own.
+    pub fn new(seed: u64, large_fleet: bool) -> Self {
         SetupLimit {
-            chance: fastrand::Rng::with_seed(seed ^ CHANCE),
-            failed: BTreeSet::new(),
-            shared: if many { SHARED_UNPROVEN } else { SHARED },
-            under_way: 0,
-            most: None,
+            rng: fastrand::Rng::with_seed(seed ^ RNG_SEED_SALT),
+            failed_backends: BTreeSet::new(),
+            shared_failure_backends: if large_fleet {
+                SHARED_FAILURE_BACKENDS_BEFORE_SUCCESS
+            } else {
+                SHARED_FAILURE_BACKENDS
+            },
+            in_progress: 0,
+            max_in_progress: None,
             pause: 0,
             next_at: 0,
             lowered_at: 0,
         }
     }
 
-    /// A set-up begins.
-    pub fn begin(&mut self) {
-        self.under_way += 1;
+    /// Counts a setup that starts.
+    pub fn start(&mut self) {
+        self.in_progress += 1;
     }
 
-    /// One ended that tells nothing of what all backends need.
-    pub fn end(&mut self) {
-        self.under_way = self.under_way.saturating_sub(1);
+    /// Counts the end of a setup whose result says nothing about a shared cause.
+    pub fn finish(&mut self) {
+        self.in_progress = self.in_progress.saturating_sub(1);
     }
 
-    /// One succeeded: twice as many may be under way.
-    pub fn succeeded(&mut self) {
-        self.end();
-        self.failed.clear();
-        self.shared = SHARED;
+    /// Records a setup that succeeded: twice as many may now be in progress.
+    pub fn record_success(&mut self) {
+        self.finish();
+        self.failed_backends.clear();
+        self.shared_failure_backends = SHARED_FAILURE_BACKENDS;
         self.pause = 0;
         self.next_at = 0;
-        self.most = self.most.map(|most| most * 2).filter(|&most| most < UNLIMITED);
+        self.max_in_progress =
+            self.max_in_progress.map(|most| most * 2).filter(|&most| most < LIMIT_REMOVAL_THRESHOLD);
     }
 
-    /// One that was sent then failed at that backend in that zone, or had no answer in time. `aim` is the time in which
-    /// one is wanted, `deadline` that after which its client gives up.
-    pub fn failed(&mut self, now: Micros, sent: Micros, at: (usize, u16), aim: Micros, deadline: Micros) {
-        self.end();
-        self.failed.insert(at);
-        if !self.shared() || sent < self.lowered_at {
+    /// Records a setup that failed or had no answer in time. It was sent at `sent_at` to `backend`, given by
+    /// its index and its zone. `setup_target` is the wanted duration of a setup. The client gives up after
+    /// `deadline`.
+    pub fn record_failure(
+        &mut self,
+        now: Micros,
+        sent_at: Micros,
+        backend: (usize, u16),
+        setup_target: Micros,
+        deadline: Micros,
+    ) {
+        self.finish();
+        self.failed_backends.insert(backend);
+        if !self.is_shared_failure() || sent_at < self.lowered_at {
             return;
         }
         self.lowered_at = now;
-        self.most = Some(1);
-        self.pause = (self.pause * GROWTH).max(aim / FIRST_PAUSE_PART).min(deadline * LONGEST_PAUSES);
-        // From half of it to one and a half: proxies that share nothing do not try again in step.
-        self.next_at = now + self.pause / 2 + self.chance.u64(0..=self.pause);
+        self.max_in_progress = Some(1);
+        self.pause = (self.pause * PAUSE_GROWTH_FACTOR)
+            .max(setup_target / FIRST_PAUSE_DIVISOR)
+            .min(deadline * MAX_PAUSE_DEADLINES);
+        // Waits for 0.5 to 1.5 pauses, so that proxies, which share no state, do not retry in step.
+        self.next_at = now + self.pause / 2 + self.rng.u64(0..=self.pause);
     }
 
-    /// Whether set-ups fail at backends of all kinds alike.
-    pub fn shared(&self) -> bool {
-        let zones: BTreeSet<u16> = self.failed.iter().map(|&(_, zone)| zone).collect();
-        self.failed.len() >= self.shared || zones.len() >= SHARED_ZONES
+    /// Whether setups fail at all kinds of backends alike.
+    pub fn is_shared_failure(&self) -> bool {
+        let zones: BTreeSet<u16> = self.failed_backends.iter().map(|&(_, zone)| zone).collect();
+        self.failed_backends.len() >= self.shared_failure_backends || zones.len() >= SHARED_FAILURE_ZONES
     }
 
-    /// Whether set-ups are limited now.
-    pub fn limits(&self) -> bool {
-        self.most.is_some()
+    /// Whether setups are limited now.
+    pub fn is_limited(&self) -> bool {
+        self.max_in_progress.is_some()
     }
 
-    /// When the next set-up may begin, as far as is known: `now` where nothing is in its way.
-    pub fn next_at(&self, now: Micros, aim: Micros) -> Micros {
-        match self.most {
-            Some(most) if self.under_way >= most => self.next_at.max(now + aim / FIRST_PAUSE_PART),
+    /// The earliest time at which the next setup may start, as far as is known; `now` without an obstacle.
+    pub fn next_at(&self, now: Micros, setup_target: Micros) -> Micros {
+        match self.max_in_progress {
+            Some(most) if self.in_progress >= most => {
+                self.next_at.max(now + setup_target / FIRST_PAUSE_DIVISOR)
+            }
             Some(_) => self.next_at.max(now),
             None => now,
         }
--- a/crates/decision/src/state.rs
+++ b/crates/decision/src/state.rs
@@ -604,7 +604,7 @@
     /// Enters an attempt.
     pub(crate) fn start_attempt(&mut self, mut state: RequestState, i: usize, now: Micros, until: Micros) {
         self.update_load(i, state.load, true);
-        self.setup_limit.begin();
+        self.setup_limit.start();
         self.backends[i].returned_to_service = false;
         state.attempts += 1;
         state.current_attempt = Some((i, now, until));
@@ -622,7 +622,7 @@
         let state = self.requests.get_mut(&id).filter(|w| w.attempts == attempt + 1 && !w.established)?;
         let (i, ..) = state.current_attempt?;
         (state.established, state.answered) = (true, true);
-        self.setup_limit.succeeded();
+        self.setup_limit.record_success();
         let (request, load) = (state.request.clone(), state.load);
         self.set_established(i, id, true);
         if let Some(key) = request.key {
