--- a/crates/decision/src/freshness.rs
+++ b/crates/decision/src/freshness.rs
@@ -1,37 +1,39 @@
-//! How old what we know of the backends is. Nothing here decides.
+//! The age of the proxy's information about the backends. This module keeps the times; `logic` decides.
 
 use crate::api::{ListKind, Micros};
 use crate::state::Balancer;
 
-/// How far the list is known.
+/// How recent the endpoint list is.
 #[derive(Default)]
 pub(crate) struct EndpointsFreshness {
-    /// When it was last told as it stood then, put off by the time in which it could not be had; 0 before any.
+    /// When discovery last reported or confirmed the endpoint list, moved forward by the time in which discovery
+    /// was unreachable; 0 before the first report.
     pub updated_at: Micros,
-    /// When it was last found out of reach; none once a call came as far as a connection. Between two such calls in a
-    /// row it counts as out of reach, and at no other time.
-    unreached_at: Option<Micros>,
-    /// Since when another service is to tell it, put off likewise; none once that one did.
-    moved_at: Option<Micros>,
+    /// When discovery was last found unreachable; `None` once a call got a connection. Discovery counts as
+    /// unreachable only between two such calls in a row.
+    last_unreachable_at: Option<Micros>,
+    /// When another discovery service became responsible, moved forward likewise; `None` once that service
+    /// has reported its endpoint list.
+    discovery_moved_at: Option<Micros>,
 }
 
 impl EndpointsFreshness {
-    /// Enters that the list was told, or was not to be had; whether the latter.
+    /// Records a report of the endpoint list or a failed call. Returns whether the call failed.
     pub fn record_update(&mut self, now: Micros, kind: ListKind) -> bool {
-        let unreached_at = self.unreached_at.take();
+        let last_unreachable_at = self.last_unreachable_at.take();
         match kind {
-            ListKind::Full => (self.updated_at, self.moved_at) = (now, None),
-            // Changes that the service before still tells are no news of what the new one has.
-            ListKind::Delta if self.moved_at.is_some() => {}
+            ListKind::Full => (self.updated_at, self.discovery_moved_at) = (now, None),
+            // A delta from the previous discovery service says nothing about the list of the new one.
+            ListKind::Delta if self.discovery_moved_at.is_some() => {}
             ListKind::Delta => self.updated_at = now,
-            // What cannot be reached binds nobody.
+            // A list that cannot be reached need not be obeyed, so the time without reach does not count.
             ListKind::Unreachable => {
-                let gap = unreached_at.map_or(0, |at| now.saturating_sub(at));
-                self.updated_at += gap;
-                self.moved_at = self.moved_at.map(|at| at + gap);
-                self.unreached_at = Some(now);
+                let unreachable_time = last_unreachable_at.map_or(0, |at| now.saturating_sub(at));
+                self.updated_at += unreachable_time;
+                self.discovery_moved_at = self.discovery_moved_at.map(|at| at + unreachable_time);
+                self.last_unreachable_at = Some(now);
             }
-            ListKind::DiscoveryMoved => self.moved_at = Some(now),
+            ListKind::DiscoveryMoved => self.discovery_moved_at = Some(now),
             ListKind::Failed => {}
         }
         !matches!(kind, ListKind::Full | ListKind::Delta)
@@ -39,13 +41,15 @@
 }
 
 impl Balancer {
-    /// Whether what the list has to tell may bind by now without having come. Then nothing is known of any backend: one
-    /// that took a request lately may have been announced as leaving long before, as a draining one takes them too.
+    /// Whether a change of the endpoint list that must be obeyed by now may not have reached the proxy. Then
+    /// nothing is known of any backend. Even a backend that took a request recently may have been announced
+    /// as draining long before, as a draining backend takes requests too.
     pub(crate) fn endpoints_stale(&self, now: Micros) -> bool {
-        let EndpointsFreshness { updated_at, moved_at, .. } = self.freshness;
-        self.settings.max_endpoints_age.is_some_and(|after| {
-            let moved = moved_at.is_some_and(|at| now >= at + self.settings.max_endpoints_age_after_move);
-            moved || now >= updated_at + after
+        let EndpointsFreshness { updated_at, discovery_moved_at, .. } = self.freshness;
+        self.settings.max_endpoints_age.is_some_and(|max_age| {
+            let stale_after_move =
+                discovery_moved_at.is_some_and(|at| now >= at + self.settings.max_endpoints_age_after_move);
+            stale_after_move || now >= updated_at + max_age
         })
     }
 }
