--- a/crates/decision/src/freshness.rs
+++ b/crates/decision/src/freshness.rs
@@ -6,8 +6,8 @@
 /// How recent the endpoint list is.
 #[derive(Default)]
 pub(crate) struct EndpointsFreshness {
-    /// When discovery last reported or confirmed the endpoint list, moved forward by the time in which discovery
-    /// was unreachable; 0 before the first report.
+    /// When discovery last reported or confirmed the endpoint list, moved forward by the time in which
+    /// discovery was unreachable; 0 before the first report.
     pub updated_at: Micros,
     /// When discovery was last found unreachable; `None` once a call got a connection. Discovery counts as
     /// unreachable only between two such calls in a row.
