--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -1,10 +1,11 @@
 #![forbid(unsafe_code)]
-#![allow(clippy::disallowed_types, clippy::disallowed_methods)] // the one place where these belong
-//! The one seam between the proxy and the machine it runs on: clock, timers, TCP, signals, the config file,
-//! variables, descriptors and tasks. [`Host::os`] is the real machine, on tokio. Whoever implements [`Machine`]
-//! provides another one, such as a simulated machine on a virtual clock, and the same network code runs there.
+#![allow(clippy::disallowed_types, clippy::disallowed_methods)] // only this crate may use these
+//! The interface between the proxy and the machine it runs on: clock, timers, TCP, signals, files,
+//! environment variables, descriptors, tasks and the handover between processes. [`Host::os`] is the real
+//! machine, on tokio. Another implementation of [`Machine`], such as a simulated machine on a virtual clock,
+//! runs the same network code.
 //!
-//! Everything here is for one thread: handles are `Rc`s, tasks are local, and nothing is `Send`.
+//! Everything in this crate is for one thread: handles are `Rc`s, tasks are local, and nothing is `Send`.
 
 mod handover;
 mod net;
@@ -27,127 +28,129 @@
 /// A point in time (Unix time) or a span of time, in microseconds.
 pub type Micros = u64;
 
-/// A future of a machine's, on its one thread.
+/// A boxed future of a machine, for its single thread.
 pub type Local<'a, T> = Pin<Box<dyn Future<Output = T> + 'a>>;
 
 /// A signal that the process handles.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Signal {
-    /// SIGHUP: the config was replaced.
+    /// SIGHUP: the config file was replaced.
     Hangup,
-    /// SIGTERM: stop as planned.
+    /// SIGTERM: a planned shutdown.
     Terminate,
 }
 
-/// What a machine provides to one process on it.
+/// What a machine provides to one of its processes.
 pub trait Machine {
-    /// Unix time on a clock that never steps back; microseconds.
+    /// Returns the Unix time in microseconds, on a clock that never steps back.
     fn now(&self) -> Micros;
-    /// Ends at that time or soon after it.
+    /// Completes at that time or soon after it.
     fn sleep_until(&self, at: Micros) -> Local<'static, ()>;
-    /// Runs a task beside all others. It ends with the process at the latest.
+    /// Runs a task concurrently with all others. The task ends with the process at the latest.
     fn spawn(&self, task: Local<'static, ()>);
-    /// Connects to that address. Dropped before its end, it leaves nothing open.
-    fn connect(&self, to: SocketAddr) -> Local<'static, io::Result<TcpStream>>;
-    /// Listens there, with so many connections that may wait to be accepted; beside others that share the address
-    /// alike, where that is wanted.
-    fn listen(&self, at: SocketAddr, backlog: i32, beside: bool) -> io::Result<TcpListener>;
-    /// Takes over the handling of a signal.
-    fn signals(&self, which: Signal) -> io::Result<Signals>;
-    /// Reads a file whole.
+    /// Connects to `address`. The future leaves nothing open when it is dropped early.
+    fn connect(&self, address: SocketAddr) -> Local<'static, io::Result<TcpStream>>;
+    /// Listens on `address`. At most `backlog` connections wait to be accepted. With `reuse_port` other
+    /// sockets with the same option may listen on the same address.
+    fn listen(&self, address: SocketAddr, backlog: i32, reuse_port: bool) -> io::Result<TcpListener>;
+    /// Handles a signal from now on, in place of its default action.
+    fn signals(&self, signal: Signal) -> io::Result<Signals>;
+    /// Reads a whole file.
     fn read_file(&self, path: &Path) -> io::Result<Vec<u8>>;
-    /// Writes a file whole: whoever reads it finds all of it, or all of what was there before.
+    /// Replaces a file atomically: a reader finds all of the new content or all of the old.
     fn write_file(&self, _path: &Path, _bytes: &[u8]) -> io::Result<()> {
         Err(io::ErrorKind::Unsupported.into())
     }
-    /// Offers the process that is to take over a connection at that path, in place of whoever did before.
-    fn listen_handover(&self, _at: &Path) -> io::Result<HandoverListener> {
+    /// Listens at `path` for the process that takes over, and replaces any earlier listener there.
+    fn listen_handover(&self, _path: &Path) -> io::Result<HandoverListener> {
         Err(io::ErrorKind::Unsupported.into())
     }
-    /// Asks whoever offers at that path.
-    fn connect_handover<'a>(&self, _at: &'a Path) -> Local<'a, io::Result<HandoverChannel>> {
+    /// Connects to the process that listens at `path` for its successor.
+    fn connect_handover<'a>(&self, _path: &'a Path) -> Local<'a, io::Result<HandoverChannel>> {
         Box::pin(std::future::ready(Err(io::ErrorKind::Unsupported.into())))
     }
-    /// A variable of the process's environment.
+    /// Returns an environment variable of the process.
     fn env_var(&self, name: &str) -> Option<String>;
-    /// Holds a descriptor until it is dropped; none if the process has none left.
+    /// Occupies a file descriptor until the returned value is dropped; `None` if the process has no
+    /// descriptor left.
     fn reserve_descriptor(&self) -> Option<Box<dyn Any>>;
 }
 
-/// A handle on the machine; clones share it.
+/// A handle to a machine; clones share the machine.
 #[derive(Clone)]
 pub struct Host(Rc<dyn Machine>);
 
 impl Host {
-    /// The real machine. Whatever is asynchronous needs a tokio `LocalSet` with I/O and time round it.
+    /// The real machine. Its asynchronous methods must run in a tokio `LocalSet` with I/O and time enabled.
     pub fn os() -> Self {
-        Host(Rc::new(os::Os::new()))
+        Host(Rc::new(os::OsMachine::new()))
     }
 
-    /// A machine of the caller's.
+    /// A machine that the caller provides.
     pub fn of(machine: impl Machine + 'static) -> Self {
         Host(Rc::new(machine))
     }
 
-    /// Unix time; microseconds.
+    /// Returns the Unix time in microseconds.
     pub fn now(&self) -> Micros {
         self.0.now()
     }
 
-    /// Ends at that time or soon after it.
+    /// Completes at that time or soon after it.
     pub async fn sleep_until(&self, at: Micros) {
         self.0.sleep_until(at).await;
     }
 
-    /// Runs a task beside all others; a panic ends that task and no other.
+    /// Runs a task concurrently with all others. A panic ends that task and no other.
     pub fn spawn(&self, task: impl Future<Output = ()> + 'static) -> Task {
         let (task, handle) = task::catch_panics(task);
         self.0.spawn(Box::pin(task));
         handle
     }
 
-    /// Connects to that address.
-    pub async fn connect(&self, to: SocketAddr) -> io::Result<TcpStream> {
-        self.0.connect(to).await
+    /// Connects to `address`.
+    pub async fn connect(&self, address: SocketAddr) -> io::Result<TcpStream> {
+        self.0.connect(address).await
     }
 
-    /// Listens there, with so many connections that may wait to be accepted; beside others that share the address
-    /// alike, where that is wanted.
-    pub fn listen(&self, at: SocketAddr, backlog: i32, beside: bool) -> io::Result<TcpListener> {
-        self.0.listen(at, backlog, beside)
+    /// Listens on `address`. At most `backlog` connections wait to be accepted. With `reuse_port` other
+    /// sockets with the same option may listen on the same address.
+    pub fn listen(&self, address: SocketAddr, backlog: i32, reuse_port: bool) -> io::Result<TcpListener> {
+        self.0.listen(address, backlog, reuse_port)
     }
 
-    /// Takes over the handling of a signal.
-    pub fn signals(&self, which: Signal) -> io::Result<Signals> {
-        self.0.signals(which)
+    /// Handles a signal from now on, in place of its default action.
+    pub fn signals(&self, signal: Signal) -> io::Result<Signals> {
+        self.0.signals(signal)
     }
 
-    /// Reads a file whole.
+    /// Reads a whole file.
     pub fn read_file(&self, path: &Path) -> io::Result<Vec<u8>> {
         self.0.read_file(path)
     }
 
-    /// Writes a file whole: whoever reads it finds all of it, or all of what was there before.
+    /// Replaces a file atomically: a reader finds all of the new content or all of the old.
     pub fn write_file(&self, path: &Path, bytes: &[u8]) -> io::Result<()> {
         self.0.write_file(path, bytes)
     }
 
-    /// Offers the process that is to take over a connection at that path, in place of whoever did before.
-    pub fn listen_handover(&self, at: &Path) -> io::Result<HandoverListener> {
-        self.0.listen_handover(at)
+    /// Listens at `path` for the process that takes over, and replaces any earlier listener there.
+    pub fn listen_handover(&self, path: &Path) -> io::Result<HandoverListener> {
+        self.0.listen_handover(path)
     }
 
-    /// Asks whoever offers at that path.
-    pub async fn connect_handover(&self, at: &Path) -> io::Result<HandoverChannel> {
-        self.0.connect_handover(at).await
+    /// Connects to the process that listens at `path` for its successor.
+    pub async fn connect_handover(&self, path: &Path) -> io::Result<HandoverChannel> {
+        self.0.connect_handover(path).await
     }
 
-    /// A variable of the process's environment.
+    /// Returns an environment variable of the process.
     pub fn env_var(&self, name: &str) -> Option<String> {
         self.0.env_var(name)
     }
 
-    /// Holds a descriptor until it is dropped; none if the process has none left.
+    /// Occupies a file descriptor until the returned value is dropped; `None` if the process has no
+    /// descriptor left.
     pub fn reserve_descriptor(&self) -> Option<Box<dyn Any>> {
         self.0.reserve_descriptor()
     }
--- a/crates/host/src/os.rs
+++ b/crates/host/src/os.rs
@@ -14,19 +14,19 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// The clock is the Unix time at the start, carried on by one that never steps.
-pub struct Os {
+pub struct OsMachine {
     start: Micros,
     since: Instant,
 }
 
-impl Os {
+impl OsMachine {
     pub fn new() -> Self {
         let start = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Os { start: start.as_micros() as Micros, since: Instant::now() }
+        OsMachine { start: start.as_micros() as Micros, since: Instant::now() }
     }
 }
 
-impl Machine for Os {
+impl Machine for OsMachine {
     fn now(&self) -> Micros {
         self.start + self.since.elapsed().as_micros() as Micros
     }
