--- a/crates/host/src/net.rs
+++ b/crates/host/src/net.rs
@@ -1,4 +1,4 @@
-//! TCP as the proxy uses it: readiness, partial reads and writes, half-close and reset, on any machine.
+//! TCP on any machine, as the proxy uses it: readiness, partial reads and writes, half-close and reset.
 
 use crate::retry::{accept_with_retry, retry_immediately};
 use socket2::SockRef;
@@ -11,36 +11,36 @@
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// What a connection is waited for.
+/// The kinds of readiness that a caller waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Interest {
-    /// Something to read, an end or an error.
+    /// Data to read, the end of the stream or an error.
     pub read: bool,
-    /// Room to write, or an error.
+    /// Space to write, or an error.
     pub write: bool,
 }
 
-/// A connection that a machine other than the real one makes. Errors are those of the system's calls.
+/// A connection of a machine other than the real one. Its errors are those of the corresponding system calls.
 pub trait StreamIo {
     /// Ready when `try_read` would not block.
     fn poll_readable(&self, context: &mut Context<'_>) -> Poll<()>;
     /// Ready when `try_write` would not block.
     fn poll_writable(&self, context: &mut Context<'_>) -> Poll<()>;
-    /// Reads what there is; 0 at the other side's end.
-    fn try_read(&self, into: &mut [u8]) -> io::Result<usize>;
-    /// Writes a part, as much as there is room for.
+    /// Reads the available data; 0 at the end of the stream.
+    fn try_read(&self, buffer: &mut [u8]) -> io::Result<usize>;
+    /// Writes as many bytes as there is space for.
     fn try_write(&self, bytes: &[u8]) -> io::Result<usize>;
-    /// Ends the sending.
+    /// Closes the sending direction.
     fn finish(&self) -> io::Result<()>;
-    /// Makes the close that follows a reset.
+    /// Makes the following close send a reset.
     fn reset_on_close(&self);
 }
 
-/// A listening socket that a machine other than the real one makes.
+/// A listening socket of a machine other than the real one.
 pub trait ListenerIo {
-    /// The next connection and where it came from.
+    /// Accepts the next connection; returns it with its remote address.
     fn poll_accept(&self, context: &mut Context<'_>) -> Poll<io::Result<(TcpStream, SocketAddr)>>;
-    /// The address it listens on.
+    /// The address that the socket listens on.
     fn address(&self) -> SocketAddr;
 }
 
@@ -49,7 +49,7 @@
     Simulated(Box<dyn StreamIo>),
 }
 
-/// A TCP connection; it is closed when dropped.
+/// A TCP connection, which is closed when dropped.
 pub struct TcpStream(Stream);
 
 impl From<tokio::net::TcpStream> for TcpStream {
@@ -59,29 +59,31 @@
 }
 
 impl TcpStream {
-    /// A connection of another machine's.
-    pub fn from_io(wire: impl StreamIo + 'static) -> Self {
-        TcpStream(Stream::Simulated(Box::new(wire)))
+    /// Wraps a connection of another machine.
+    pub fn from_io(io: impl StreamIo + 'static) -> Self {
+        TcpStream(Stream::Simulated(Box::new(io)))
     }
 
-    /// Waits for any of these; an error shows at the read or write that follows.
+    /// Waits for any of the requested kinds of readiness. An error is reported by the read or write that
+    /// follows.
     pub async fn ready(&self, interest: Interest) {
         match &self.0 {
             Stream::Os(stream) => {
-                let wanted = match (interest.read, interest.write) {
+                let tokio_interest = match (interest.read, interest.write) {
                     (true, true) => tokio::io::Interest::READABLE | tokio::io::Interest::WRITABLE,
                     (true, false) => tokio::io::Interest::READABLE,
                     (false, true) => tokio::io::Interest::WRITABLE,
                     (false, false) => return std::future::pending().await,
                 };
-                // Guards against a peer that always has something: readiness alone never gives way to other tasks.
+                // Guards against a peer that always has data: waiting for readiness alone never yields to
+                // other tasks.
                 tokio::task::coop::consume_budget().await;
-                drop(stream.ready(wanted).await);
+                drop(stream.ready(tokio_interest).await);
             }
-            Stream::Simulated(wire) => {
+            Stream::Simulated(io) => {
                 poll_fn(|context| {
-                    let readable = interest.read && wire.poll_readable(context).is_ready();
-                    let writable = interest.write && wire.poll_writable(context).is_ready();
+                    let readable = interest.read && io.poll_readable(context).is_ready();
+                    let writable = interest.write && io.poll_writable(context).is_ready();
                     if readable || writable { Poll::Ready(()) } else { Poll::Pending }
                 })
                 .await;
@@ -89,33 +91,33 @@
         }
     }
 
-    /// Waits until there is something to read, an end or an error.
+    /// Waits for data to read, the end of the stream or an error.
     pub async fn readable(&self) {
         self.ready(Interest { read: true, write: false }).await;
     }
 
-    /// Waits until there is room to write, or an error.
+    /// Waits for space to write, or an error.
     pub async fn writable(&self) {
         self.ready(Interest { read: false, write: true }).await;
     }
 
-    /// Reads what there is; 0 at the other side's end, `WouldBlock` if there is nothing.
-    pub fn try_read(&self, into: &mut [u8]) -> io::Result<usize> {
+    /// Reads the available data. Returns 0 at the end of the stream and `WouldBlock` if there is no data.
+    pub fn try_read(&self, buffer: &mut [u8]) -> io::Result<usize> {
         match &self.0 {
-            Stream::Os(stream) => retry_immediately(|| stream.try_read(into)),
-            Stream::Simulated(wire) => wire.try_read(into),
+            Stream::Os(stream) => retry_immediately(|| stream.try_read(buffer)),
+            Stream::Simulated(io) => io.try_read(buffer),
         }
     }
 
-    /// Writes a part, as much as there is room for; `WouldBlock` if there is none.
+    /// Writes as many bytes as there is space for. Returns `WouldBlock` if there is no space.
     pub fn try_write(&self, bytes: &[u8]) -> io::Result<usize> {
         match &self.0 {
             Stream::Os(stream) => retry_immediately(|| stream.try_write(bytes)),
-            Stream::Simulated(wire) => wire.try_write(bytes),
+            Stream::Simulated(io) => io.try_write(bytes),
         }
     }
 
-    /// Its descriptor, to be given to another process.
+    /// The file descriptor, to be passed to another process.
     pub(crate) fn descriptor(&self) -> io::Result<BorrowedFd<'_>> {
         match &self.0 {
             Stream::Os(stream) => Ok(stream.as_fd()),
@@ -123,43 +125,43 @@
         }
     }
 
-    /// Sends each write at once; a machine of another kind always does. A connection that cannot be told to serves all
-    /// the same, if later.
+    /// Sends each write without delay, as other machines always do. A connection on which this fails still
+    /// works, with a higher latency.
     pub fn set_nodelay(&self) {
         if let Stream::Os(stream) = &self.0 {
-            // Nothing is lost over it.
+            // A failure loses no data.
             let _ = retry_immediately(|| stream.set_nodelay(true));
         }
     }
 
-    /// Ends the sending: the other side reads an end after all that was written.
+    /// Closes the sending direction: the peer reads the end of the stream after all data that was written.
     pub fn finish(&self) -> io::Result<()> {
         match &self.0 {
             Stream::Os(stream) => retry_immediately(|| SockRef::from(stream).shutdown(Shutdown::Write)),
-            Stream::Simulated(wire) => wire.finish(),
+            Stream::Simulated(io) => io.finish(),
         }
     }
 
-    /// Makes the close that follows a reset: the other side reads an error in place of an end.
+    /// Makes the following close send a reset: the peer reads an error in place of the end of the stream.
     pub fn reset_on_close(&self) {
         match &self.0 {
-            // One that is closed already is none that could be reset.
+            // A failure means that the connection is closed already and cannot be reset.
             Stream::Os(stream) => {
                 drop(retry_immediately(|| SockRef::from(stream).set_linger(Some(Duration::ZERO))))
             }
-            Stream::Simulated(wire) => wire.reset_on_close(),
+            Stream::Simulated(io) => io.reset_on_close(),
         }
     }
 }
 
-/// Polls again where a call of the poll's failed for a moment.
-fn uninterrupted<T>(mut poll: impl FnMut() -> Poll<io::Result<T>>) -> Poll<io::Result<T>> {
+/// Polls again after a transient failure of a system call in `poll`.
+fn poll_with_retry<T>(mut poll: impl FnMut() -> Poll<io::Result<T>>) -> Poll<io::Result<T>> {
     let polled = retry_immediately(|| match poll() {
-        Poll::Ready(done) => done.map(Poll::Ready),
+        Poll::Ready(result) => result.map(Poll::Ready),
         Poll::Pending => Ok(Poll::Pending),
     });
     match polled {
-        Ok(Poll::Ready(done)) => Poll::Ready(Ok(done)),
+        Ok(Poll::Ready(value)) => Poll::Ready(Ok(value)),
         Ok(Poll::Pending) => Poll::Pending,
         Err(error) => Poll::Ready(Err(error)),
     }
@@ -169,19 +171,19 @@
     fn poll_read(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-        into: &mut ReadBuf<'_>,
+        buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         match &mut self.get_mut().0 {
-            Stream::Os(stream) => uninterrupted(|| Pin::new(&mut *stream).poll_read(context, into)),
-            Stream::Simulated(wire) => loop {
-                ready!(wire.poll_readable(context));
-                match wire.try_read(into.initialize_unfilled()) {
+            Stream::Os(stream) => poll_with_retry(|| Pin::new(&mut *stream).poll_read(context, buffer)),
+            Stream::Simulated(io) => loop {
+                ready!(io.poll_readable(context));
+                match io.try_read(buffer.initialize_unfilled()) {
                     Ok(read) => {
-                        into.advance(read);
+                        buffer.advance(read);
                         return Poll::Ready(Ok(()));
                     }
-                    Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-                    Err(e) => return Poll::Ready(Err(e)),
+                    Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+                    Err(error) => return Poll::Ready(Err(error)),
                 }
             },
         }
@@ -191,11 +193,11 @@
 impl AsyncWrite for TcpStream {
     fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         match &mut self.get_mut().0 {
-            Stream::Os(stream) => uninterrupted(|| Pin::new(&mut *stream).poll_write(context, bytes)),
-            Stream::Simulated(wire) => loop {
-                ready!(wire.poll_writable(context));
-                match wire.try_write(bytes) {
-                    Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
+            Stream::Os(stream) => poll_with_retry(|| Pin::new(&mut *stream).poll_write(context, bytes)),
+            Stream::Simulated(io) => loop {
+                ready!(io.poll_writable(context));
+                match io.try_write(bytes) {
+                    Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                     written => return Poll::Ready(written),
                 }
             },
@@ -208,8 +210,8 @@
 
     fn poll_shutdown(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         match &mut self.get_mut().0 {
-            Stream::Os(stream) => uninterrupted(|| Pin::new(&mut *stream).poll_shutdown(context)),
-            Stream::Simulated(wire) => Poll::Ready(wire.finish()),
+            Stream::Os(stream) => poll_with_retry(|| Pin::new(&mut *stream).poll_shutdown(context)),
+            Stream::Simulated(io) => Poll::Ready(io.finish()),
         }
     }
 }
@@ -228,24 +230,24 @@
         Ok(TcpListener(Listener::Os(listener, address)))
     }
 
-    /// A listening socket of another machine's.
-    pub fn from_io(listening: impl ListenerIo + 'static) -> Self {
-        TcpListener(Listener::Simulated(Box::new(listening)))
+    /// Wraps a listening socket of another machine.
+    pub fn from_io(io: impl ListenerIo + 'static) -> Self {
+        TcpListener(Listener::Simulated(Box::new(io)))
     }
 
-    /// The next connection and where it came from; one that failed before it was taken in is passed over. Nothing is
-    /// lost when this is dropped before its end.
+    /// Accepts the next connection; returns it with its remote address. A connection that failed before it
+    /// was accepted is skipped. This method is cancel safe.
     pub async fn accept(&self) -> io::Result<(TcpStream, SocketAddr)> {
         match &self.0 {
             Listener::Os(listener, _) => {
-                let (stream, from) = accept_with_retry(async || listener.accept().await).await?;
-                Ok((stream.into(), from))
+                let (stream, remote_address) = accept_with_retry(async || listener.accept().await).await?;
+                Ok((stream.into(), remote_address))
             }
-            Listener::Simulated(listening) => poll_fn(|context| listening.poll_accept(context)).await,
+            Listener::Simulated(io) => poll_fn(|context| io.poll_accept(context)).await,
         }
     }
 
-    /// Its descriptor, to be given to another process.
+    /// The file descriptor, to be passed to another process.
     pub(crate) fn descriptor(&self) -> io::Result<BorrowedFd<'_>> {
         match &self.0 {
             Listener::Os(listener, _) => Ok(listener.as_fd()),
@@ -253,11 +255,11 @@
         }
     }
 
-    /// The address it listens on.
+    /// The address that the socket listens on.
     pub fn address(&self) -> SocketAddr {
         match &self.0 {
             Listener::Os(_, address) => *address,
-            Listener::Simulated(listening) => listening.address(),
+            Listener::Simulated(io) => io.address(),
         }
     }
 }
