--- a/crates/host/src/os.rs
+++ b/crates/host/src/os.rs
@@ -1,4 +1,4 @@
-//! The real machine, on tokio.
+//! The implementation of [`Machine`] by the operating system and tokio.
 
 use crate::retry::{retry_with_backoff, retry_with_backoff_blocking};
 use crate::task::{OsSignal, Source};
@@ -13,22 +13,22 @@
 use std::path::Path;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The clock is the Unix time at the start, carried on by one that never steps.
+/// The real machine. Its clock is the Unix time at the start, advanced by a monotonic clock.
 pub struct OsMachine {
-    start: Micros,
-    since: Instant,
+    started_at: Micros,
+    started_instant: Instant,
 }
 
 impl OsMachine {
     pub fn new() -> Self {
-        let start = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        OsMachine { start: start.as_micros() as Micros, since: Instant::now() }
+        let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        OsMachine { started_at: unix_time.as_micros() as Micros, started_instant: Instant::now() }
     }
 }
 
 impl Machine for OsMachine {
     fn now(&self) -> Micros {
-        self.start + self.since.elapsed().as_micros() as Micros
+        self.started_at + self.started_instant.elapsed().as_micros() as Micros
     }
 
     fn sleep_until(&self, at: Micros) -> Local<'static, ()> {
@@ -39,32 +39,32 @@
         tokio::task::spawn_local(task);
     }
 
-    fn connect(&self, to: SocketAddr) -> Local<'static, io::Result<TcpStream>> {
-        let connect = async move || tokio::net::TcpStream::connect(to).await.map(TcpStream::from);
+    fn connect(&self, address: SocketAddr) -> Local<'static, io::Result<TcpStream>> {
+        let connect = async move || tokio::net::TcpStream::connect(address).await.map(TcpStream::from);
         Box::pin(retry_with_backoff(connect))
     }
 
-    fn listen(&self, at: SocketAddr, backlog: i32, beside: bool) -> io::Result<TcpListener> {
+    fn listen(&self, address: SocketAddr, backlog: i32, reuse_port: bool) -> io::Result<TcpListener> {
         retry_with_backoff_blocking(|| {
-            let socket = Socket::new(Domain::for_address(at), Type::STREAM, None)?;
+            let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
             socket.set_reuse_address(true)?;
-            if beside {
+            if reuse_port {
                 socket.set_reuse_port(true)?;
             }
             socket.set_nonblocking(true)?;
-            socket.bind(&at.into())?;
+            socket.bind(&address.into())?;
             socket.listen(backlog)?;
             TcpListener::os(tokio::net::TcpListener::from_std(socket.into())?)
         })
     }
 
-    fn signals(&self, which: Signal) -> io::Result<Signals> {
-        let number = match which {
+    fn signals(&self, signal: Signal) -> io::Result<Signals> {
+        let number = match signal {
             Signal::Hangup => SIGHUP,
             Signal::Terminate => SIGTERM,
         };
-        let arrivals = retry_with_backoff_blocking(|| OsSignal::of(number))?;
-        Ok(Signals(Source::Os(arrivals)))
+        let os_signal = retry_with_backoff_blocking(|| OsSignal::of(number))?;
+        Ok(Signals(Source::Os(os_signal)))
     }
 
     fn read_file(&self, path: &Path) -> io::Result<Vec<u8>> {
@@ -72,26 +72,26 @@
     }
 
     fn write_file(&self, path: &Path, bytes: &[u8]) -> io::Result<()> {
-        let beside = path.with_extension(std::process::id().to_string());
-        let written = retry_with_backoff_blocking(|| {
-            let mut file = std::fs::File::create(&beside)?;
+        let temporary_path = path.with_extension(std::process::id().to_string());
+        let result = retry_with_backoff_blocking(|| {
+            let mut file = std::fs::File::create(&temporary_path)?;
             file.write_all(bytes)?;
             file.sync_all()?;
-            std::fs::rename(&beside, path)
+            std::fs::rename(&temporary_path, path)
         });
-        if written.is_err() {
-            // A half-written file beside the good one is of no use to anybody.
-            let _ = std::fs::remove_file(&beside);
+        if result.is_err() {
+            // An incomplete temporary file is of no use.
+            let _ = std::fs::remove_file(&temporary_path);
         }
-        written
+        result
     }
 
-    fn listen_handover(&self, at: &Path) -> io::Result<HandoverListener> {
-        HandoverListener::bind(at)
+    fn listen_handover(&self, path: &Path) -> io::Result<HandoverListener> {
+        HandoverListener::bind(path)
     }
 
-    fn connect_handover<'a>(&self, at: &'a Path) -> Local<'a, io::Result<HandoverChannel>> {
-        Box::pin(HandoverChannel::connect(at))
+    fn connect_handover<'a>(&self, path: &'a Path) -> Local<'a, io::Result<HandoverChannel>> {
+        Box::pin(HandoverChannel::connect(path))
     }
 
     fn env_var(&self, name: &str) -> Option<String> {
