--- a/crates/host/src/os.rs
+++ b/crates/host/src/os.rs
@@ -1,7 +1,7 @@
 //! The implementation of [`Machine`] by the operating system and tokio.
 
 use crate::retry::{retry_with_backoff, retry_with_backoff_blocking};
-use crate::task::{OsSignal, Source};
+use crate::task::{OsSignal, SignalSource};
 use crate::{
     HandoverChannel, HandoverListener, Local, Machine, Micros, Signal, Signals, TcpListener, TcpStream,
 };
@@ -63,8 +63,8 @@
             Signal::Hangup => SIGHUP,
             Signal::Terminate => SIGTERM,
         };
-        let os_signal = retry_with_backoff_blocking(|| OsSignal::of(number))?;
-        Ok(Signals(Source::Os(os_signal)))
+        let os_signal = retry_with_backoff_blocking(|| OsSignal::register(number))?;
+        Ok(Signals(SignalSource::Os(os_signal)))
     }
 
     fn read_file(&self, path: &Path) -> io::Result<Vec<u8>> {
--- a/crates/host/src/task.rs
+++ b/crates/host/src/task.rs
@@ -1,4 +1,4 @@
-//! Tasks whose panics stay with them, and streams of signals.
+//! Tasks whose panics do not spread to other tasks, and streams of signals.
 
 use std::future::Future;
 use std::io;
@@ -15,41 +15,42 @@
 /// How a task ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TaskEnd {
-    /// It came to its end.
+    /// The task ran to its end.
     Completed,
-    /// It panicked, or its process ended.
+    /// The task panicked, or its process ended.
     Aborted,
 }
 
-/// A handle on a task, to await its end. Dropped, it leaves the task running.
+/// A handle to await the end of a task. The task keeps running when the handle is dropped.
 pub struct Task(oneshot::Receiver<TaskEnd>);
 
 impl Future for Task {
     type Output = TaskEnd;
 
     fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<TaskEnd> {
-        Pin::new(&mut self.0).poll(context).map(|ended| ended.unwrap_or(TaskEnd::Aborted))
+        Pin::new(&mut self.0).poll(context).map(|result| result.unwrap_or(TaskEnd::Aborted))
     }
 }
 
-/// The task with its panics caught, and its handle.
+/// Wraps a task so that its panics are caught. Returns the wrapped task and its handle.
 pub(crate) fn catch_panics(task: impl Future<Output = ()>) -> (impl Future<Output = ()>, Task) {
     let (sender, receiver) = oneshot::channel();
     let task = async move {
-        let ended = Caught(Box::pin(task)).await;
-        // Nobody may be waiting for it.
-        let _ = sender.send(ended);
+        let end = CatchPanic(Box::pin(task)).await;
+        // The handle may have been dropped.
+        let _ = sender.send(end);
     };
     (task, Task(receiver))
 }
 
-struct Caught<F>(Pin<Box<F>>);
+/// A future whose panic ends it as [`TaskEnd::Aborted`].
+struct CatchPanic<F>(Pin<Box<F>>);
 
-impl<F: Future<Output = ()>> Future for Caught<F> {
+impl<F: Future<Output = ()>> Future for CatchPanic<F> {
     type Output = TaskEnd;
 
     fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<TaskEnd> {
-        // What a panic leaves half done belongs to the task, which is dropped and never polled again.
+        // A panic may leave state of the task inconsistent, but the task is dropped and never polled again.
         match catch_unwind(AssertUnwindSafe(|| self.0.as_mut().poll(context))) {
             Ok(polled) => polled.map(|()| TaskEnd::Completed),
             Err(_) => Poll::Ready(TaskEnd::Aborted),
@@ -57,68 +58,69 @@
     }
 }
 
-/// A signal of the real machine. Its handler sets a flag and then writes to a socket that wakes whoever waits; the flag is
-/// looked at now and then too, as a call that fails may lose the wake. Guards against tokio's own, which ends the process
-/// when the read that follows a signal is interrupted.
+/// A signal of the real machine. Its handler sets a flag and then writes to a socket, which wakes the waiting
+/// task. The flag is also checked at intervals, as a failing call may lose the wakeup. This type replaces
+/// tokio's signal handling, which ends the process when the read that follows a signal is interrupted.
 pub(crate) struct OsSignal {
     arrived: Arc<AtomicBool>,
-    wakes: UnixStream,
+    wakeups: UnixStream,
 }
 
 impl OsSignal {
-    /// Handles that signal from now on.
-    pub fn of(number: i32) -> io::Result<Self> {
+    /// Registers the handlers for a signal.
+    pub fn register(signal_number: i32) -> io::Result<Self> {
         let arrived = Arc::new(AtomicBool::new(false));
-        let (waker, wakes) = std::os::unix::net::UnixStream::pair()?;
-        wakes.set_nonblocking(true)?;
-        let wakes = UnixStream::from_std(wakes)?;
-        // In this order: whoever is woken finds the flag set.
-        signal_hook::flag::register(number, arrived.clone())?;
-        signal_hook::low_level::pipe::register(number, waker)?;
-        Ok(OsSignal { arrived, wakes })
+        let (waker, wakeups) = std::os::unix::net::UnixStream::pair()?;
+        wakeups.set_nonblocking(true)?;
+        let wakeups = UnixStream::from_std(wakeups)?;
+        // The flag is registered first, so that a woken task finds it set.
+        signal_hook::flag::register(signal_number, arrived.clone())?;
+        signal_hook::low_level::pipe::register(signal_number, waker)?;
+        Ok(OsSignal { arrived, wakeups })
     }
 
-    async fn next(&mut self) {
+    async fn recv(&mut self) {
         while !self.arrived.swap(false, Ordering::Relaxed) {
             tokio::select! {
                 biased;
-                _ = self.wakes.readable() => {
-                    // What it brings, or that it brought nothing, tells no more than the flag does.
-                    let _ = self.wakes.try_read(&mut [0; WAKES]);
+                _ = self.wakeups.readable() => {
+                    // The flag says it all, so the result of the read is ignored.
+                    let _ = self.wakeups.try_read(&mut [0; WAKEUP_BUFFER_BYTES]);
                 }
-                () = tokio::time::sleep(LOOK) => {}
+                () = tokio::time::sleep(FLAG_CHECK_INTERVAL) => {}
             }
         }
     }
 }
 
-/// So many wakes are read at once.
-const WAKES: usize = 64;
-/// A signal whose wake was lost is found within this.
-const LOOK: Duration = Duration::from_millis(250);
+/// Size of the buffer of one read of wakeups, each of which is a byte.
+const WAKEUP_BUFFER_BYTES: usize = 64;
+/// Interval of the checks of the flag: a signal whose wakeup was lost is found within this time.
+const FLAG_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// A signal's arrivals; several that come close together may count as one.
-pub struct Signals(pub(crate) Source);
+/// A stream of the arrivals of one signal. Arrivals in close succession may count as one.
+pub struct Signals(pub(crate) SignalSource);
 
-pub(crate) enum Source {
+/// Where the arrivals of a signal come from.
+pub(crate) enum SignalSource {
     Os(OsSignal),
     Simulated(UnboundedReceiver<()>),
 }
 
 impl Signals {
-    /// Signals that another machine sends through a channel.
+    /// A stream of signals that another machine sends through a channel.
     pub fn from_channel(arrivals: UnboundedReceiver<()>) -> Self {
-        Signals(Source::Simulated(arrivals))
+        Signals(SignalSource::Simulated(arrivals))
     }
 
-    /// Waits for the next arrival; none when no more can come.
+    /// Waits for the next arrival; `None` when no more can come.
     pub async fn recv(&mut self) -> Option<()> {
         match &mut self.0 {
-            Source::Os(arrivals) => {
-                arrivals.next().await;
+            SignalSource::Os(os_signal) => {
+                os_signal.recv().await;
                 Some(())
             }
-            Source::Simulated(arrivals) => arrivals.recv().await,
+            SignalSource::Simulated(arrivals) => arrivals.recv().await,
         }
     }
 }
