--- a/crates/host/src/retry.rs
+++ b/crates/host/src/retry.rs
@@ -1,16 +1,16 @@
-//! System calls that fail for a moment, and what is made of that: the call is made again. What fails on after that is
-//! told, with a word on whose failure it is.
+//! Retries of system calls after transient failures. A failure that persists is returned to the caller, and
+//! [`is_local_error`] tells whether it is a failure of this machine.
 
 use rustix::io::Errno;
 use std::io;
 use std::time::Duration;
 
-/// A call that does not wait is made so often in a row; no unit. Nothing fails for a moment much more often than that,
-/// and a call that fails for good costs a few microseconds more.
-const TRIES: usize = 16;
-/// Pauses between the tries of a call that opens something: an eighth of a second in all, which leaves time for another
-/// answer within the shortest time that a connection may take.
-const PAUSES: [Duration; 8] = [
+/// A call without a delay between attempts is made at most this often. Transient failures hardly ever occur
+/// more often in a row, and a call that fails permanently costs only a few microseconds more.
+const MAX_ATTEMPTS: usize = 16;
+/// Delays between the attempts of a call that opens something. They add up to an eighth of a second, which
+/// leaves time for another answer within the shortest time limit of a connection.
+const BACKOFF_DELAYS: [Duration; 8] = [
     Duration::ZERO,
     Duration::from_millis(1),
     Duration::from_millis(2),
@@ -25,74 +25,74 @@
     Errno::from_io_error(error)
 }
 
-/// Whether this machine lacked something for the call, so that it tells nothing of whoever was to be reached.
+/// Whether a call failed because of this machine, so that the failure says nothing about the remote host.
 pub fn is_local_error(error: &io::Error) -> bool {
-    let own = [Errno::INTR, Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM, Errno::ADDRNOTAVAIL];
-    errno(error).is_some_and(|errno| own.contains(&errno))
+    let local = [Errno::INTR, Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM, Errno::ADDRNOTAVAIL];
+    errno(error).is_some_and(|errno| local.contains(&errno))
 }
 
-/// Whether an accept failed for a lack of something here. Any other failure is that of the one connection which was
-/// next, as accept(2) says.
+/// Whether an accept failed because this machine lacks a resource. According to accept(2), any other failure
+/// is one of the connection that was next.
 pub fn is_resource_exhausted(error: &io::Error) -> bool {
-    let lacks = [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM];
-    errno(error).is_some_and(|errno| lacks.contains(&errno))
+    let exhausted = [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM];
+    errno(error).is_some_and(|errno| exhausted.contains(&errno))
 }
 
-/// Whether a call that does not wait may succeed when it is made again at once.
-fn passing(error: &io::Error) -> bool {
-    let passing = [Errno::INTR, Errno::NOBUFS, Errno::NOMEM];
-    errno(error).is_some_and(|errno| passing.contains(&errno))
+/// Whether a nonblocking call may succeed when it is repeated at once.
+fn is_transient(error: &io::Error) -> bool {
+    let transient = [Errno::INTR, Errno::NOBUFS, Errno::NOMEM];
+    errno(error).is_some_and(|errno| transient.contains(&errno))
 }
 
-/// Whether a call that opens or writes something may succeed a moment later. No route may show for a moment, and a
-/// folder may be full or fail for one.
-fn passing_soon(error: &io::Error) -> bool {
-    let soon = [Errno::NETUNREACH, Errno::NOSPC, Errno::IO];
-    is_local_error(error) || errno(error).is_some_and(|errno| soon.contains(&errno))
+/// Whether a call that opens or writes something may succeed a moment later. A route may be missing for a
+/// moment, and a file system may be full or fail for a moment.
+fn is_transient_for_open(error: &io::Error) -> bool {
+    let transient = [Errno::NETUNREACH, Errno::NOSPC, Errno::IO];
+    is_local_error(error) || errno(error).is_some_and(|errno| transient.contains(&errno))
 }
 
-/// Makes a call that does not wait, again where it fails for a moment.
+/// Makes a nonblocking call and repeats it at once after a transient failure.
 pub(crate) fn retry_immediately<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    for _ in 1..TRIES {
+    for _ in 1..MAX_ATTEMPTS {
         match call() {
-            Err(error) if passing(&error) => {}
-            done => return done,
+            Err(error) if is_transient(&error) => {}
+            result => return result,
         }
     }
     call()
 }
 
-/// Accepts again where one connection failed before it was taken in.
+/// Accepts a connection and tries again when a connection failed before it was accepted.
 pub(crate) async fn accept_with_retry<T>(mut accept: impl AsyncFnMut() -> io::Result<T>) -> io::Result<T> {
-    for _ in 1..TRIES {
+    for _ in 1..MAX_ATTEMPTS {
         match accept().await {
             Err(error) if !is_resource_exhausted(&error) => {}
-            done => return done,
+            result => return result,
         }
     }
     accept().await
 }
 
-/// Opens something, again after a pause where that fails for a moment.
+/// Opens something and tries again after a delay when that fails transiently.
 pub(crate) async fn retry_with_backoff<T>(mut open: impl AsyncFnMut() -> io::Result<T>) -> io::Result<T> {
-    for pause in PAUSES {
+    for delay in BACKOFF_DELAYS {
         match open().await {
-            Err(error) if passing_soon(&error) => {}
-            done => return done,
+            Err(error) if is_transient_for_open(&error) => {}
+            result => return result,
         }
-        if !pause.is_zero() {
-            tokio::time::sleep(pause).await;
+        if !delay.is_zero() {
+            tokio::time::sleep(delay).await;
         }
     }
     open().await
 }
 
-/// The same where nothing else is under way yet, so that the thread may wait.
+/// Does the same as `retry_with_backoff` but blocks the thread, for times when no other work is in progress.
 pub fn retry_with_backoff_blocking<T>(mut open: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    for pause in PAUSES {
+    for delay in BACKOFF_DELAYS {
         match open() {
-            Err(error) if passing_soon(&error) => std::thread::sleep(pause),
-            done => return done,
+            Err(error) if is_transient_for_open(&error) => std::thread::sleep(delay),
+            result => return result,
         }
     }
     open()
