--- a/crates/host/src/handover.rs
+++ b/crates/host/src/handover.rs
@@ -1,5 +1,5 @@
-//! Two processes of one machine beside each other: sockets and words pass between them, through a socket
-//! in a folder that both share.
+//! The handover between two processes on one machine. Messages and sockets pass between the processes through
+//! a Unix socket in a directory that both share.
 
 use crate::retry::{accept_with_retry, retry_immediately, retry_with_backoff};
 use crate::{TcpListener, TcpStream};
@@ -16,37 +16,37 @@
 use tokio::io::Interest;
 use tokio::net::{UnixListener, UnixStream};
 
-/// The longest word; bytes.
-const MOST: usize = 8 << 20;
-/// What is read at once; bytes.
-const PART: usize = 16 << 10;
-/// The most sockets that go with one word.
-const SOCKETS: usize = 2;
+/// The longest message.
+const MAX_MESSAGE_BYTES: usize = 8 << 20;
+/// Size of the buffer of one read.
+const READ_BUFFER_BYTES: usize = 16 << 10;
+/// The most sockets that are passed with one message.
+const MAX_SOCKETS_PER_MESSAGE: usize = 2;
 
-/// Where a process waits for the one that is to take over.
+/// A Unix socket on which a process waits for the process that takes over from it.
 pub struct HandoverListener(UnixListener);
 
 impl HandoverListener {
-    /// Offers at that path, in place of whoever did before.
+    /// Listens at `path` and replaces any earlier listener there.
     pub(crate) fn bind(path: &Path) -> io::Result<Self> {
-        let beside = path.with_extension(std::process::id().to_string());
-        // One may be left over of a process of that number.
-        let _ = std::fs::remove_file(&beside);
-        let listener = UnixListener::bind(&beside)?;
-        std::fs::rename(&beside, path)?;
+        let temporary_path = path.with_extension(std::process::id().to_string());
+        // An earlier process with the same id may have left its socket behind.
+        let _ = std::fs::remove_file(&temporary_path);
+        let listener = UnixListener::bind(&temporary_path)?;
+        std::fs::rename(&temporary_path, path)?;
         Ok(HandoverListener(listener))
     }
 
-    /// The next process that asks. Nothing is lost when this is dropped before its end.
+    /// Accepts the next process that connects. This method is cancel safe.
     pub async fn accept(&self) -> io::Result<HandoverChannel> {
         let (stream, _) = accept_with_retry(async || self.0.accept().await).await?;
-        Ok(HandoverChannel::of(stream))
+        Ok(HandoverChannel::from_stream(stream))
     }
 }
 
-/// What passes beside a word.
+/// A socket that is passed along with a message.
 pub enum PassedSocket<'a> {
-    /// One that listens.
+    /// A listening socket.
     Listener(&'a TcpListener),
     /// A connection.
     Stream(&'a TcpStream),
@@ -61,84 +61,89 @@
     }
 }
 
-/// A connection to the process beside this one. Words are lines; sockets may go with them.
+/// A connection to a peer process. Each message is a line, and sockets may be passed with it.
 pub struct HandoverChannel {
     stream: UnixStream,
-    heard: RefCell<Vec<u8>>,
+    /// Bytes that were received and not yet returned as messages.
+    received: RefCell<Vec<u8>>,
+    /// Sockets that were received and not yet taken.
     sockets: RefCell<VecDeque<OwnedFd>>,
 }
 
 impl HandoverChannel {
-    fn of(stream: UnixStream) -> Self {
-        HandoverChannel { stream, heard: RefCell::default(), sockets: RefCell::default() }
+    fn from_stream(stream: UnixStream) -> Self {
+        HandoverChannel { stream, received: RefCell::default(), sockets: RefCell::default() }
     }
 
-    /// Asks whoever offers at that path.
+    /// Connects to the process that listens at `path`.
     pub(crate) async fn connect(path: &Path) -> io::Result<Self> {
-        Ok(HandoverChannel::of(retry_with_backoff(async || UnixStream::connect(path).await).await?))
+        Ok(HandoverChannel::from_stream(retry_with_backoff(async || UnixStream::connect(path).await).await?))
     }
 
-    /// Says a word, which holds no end of line, with two sockets at most. They stay open here too.
-    pub async fn send(&self, word: &[u8], sockets: &[PassedSocket<'_>]) -> io::Result<()> {
+    /// Sends a message, which contains no newline, along with at most two sockets. The sockets stay open in
+    /// this process too.
+    pub async fn send(&self, message: &[u8], sockets: &[PassedSocket<'_>]) -> io::Result<()> {
         let descriptors: Vec<BorrowedFd<'_>> =
             sockets.iter().map(PassedSocket::descriptor).collect::<io::Result<_>>()?;
-        let first = self.stream.async_io(Interest::WRITABLE, || {
-            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(SOCKETS))];
+        let first_write = self.stream.async_io(Interest::WRITABLE, || {
+            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_SOCKETS_PER_MESSAGE))];
             let mut rights = SendAncillaryBuffer::new(&mut space);
             if !descriptors.is_empty() && !rights.push(SendAncillaryMessage::ScmRights(&descriptors)) {
                 return Err(ErrorKind::InvalidInput.into());
             }
-            let words = [IoSlice::new(word)];
-            retry_immediately(|| Ok(sendmsg(&self.stream, &words, &mut rights, SendFlags::NOSIGNAL)?))
+            let buffers = [IoSlice::new(message)];
+            retry_immediately(|| Ok(sendmsg(&self.stream, &buffers, &mut rights, SendFlags::NOSIGNAL)?))
         });
-        let written = first.await?;
-        for mut part in [&word[written..], b"\n"] {
-            while !part.is_empty() {
+        let written = first_write.await?;
+        for mut remaining in [&message[written..], b"\n"] {
+            while !remaining.is_empty() {
                 self.stream.writable().await?;
-                match retry_immediately(|| self.stream.try_write(part)) {
-                    Ok(written) => part = &part[written..],
-                    Err(e) if e.kind() == ErrorKind::WouldBlock => {}
-                    Err(e) => return Err(e),
+                match retry_immediately(|| self.stream.try_write(remaining)) {
+                    Ok(written) => remaining = &remaining[written..],
+                    Err(error) if error.kind() == ErrorKind::WouldBlock => {}
+                    Err(error) => return Err(error),
                 }
             }
         }
         Ok(())
     }
 
-    /// The next word; an error once the other process has ended. Nothing is lost when this is dropped before its end.
+    /// Receives the next message, or an error once the other process has ended. This method is cancel safe.
     pub async fn receive(&self) -> io::Result<Vec<u8>> {
         let mut searched = 0;
         loop {
             {
-                let mut heard = self.heard.borrow_mut();
-                if let Some(end) = heard[searched..].iter().position(|&byte| byte == b'\n') {
-                    let mut word: Vec<u8> = heard.drain(..=searched + end).collect();
-                    word.pop();
-                    return Ok(word);
+                let mut received = self.received.borrow_mut();
+                if let Some(end) = received[searched..].iter().position(|&byte| byte == b'\n') {
+                    let mut message: Vec<u8> = received.drain(..=searched + end).collect();
+                    message.pop();
+                    return Ok(message);
                 }
-                searched = heard.len();
-                if searched > MOST {
+                searched = received.len();
+                if searched > MAX_MESSAGE_BYTES {
                     return Err(ErrorKind::InvalidData.into());
                 }
             }
-            // No await lies between the read and the entry of what it brought.
-            let read = self.stream.async_io(Interest::READABLE, || {
-                let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(SOCKETS))];
+            // No await lies between the read and the storing of the bytes and sockets, so that cancellation
+            // loses none.
+            let read_result = self.stream.async_io(Interest::READABLE, || {
+                let mut space =
+                    [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_SOCKETS_PER_MESSAGE))];
                 let mut rights = RecvAncillaryBuffer::new(&mut space);
-                let mut part = [0; PART];
+                let mut buffer = [0; READ_BUFFER_BYTES];
                 let read = retry_immediately(|| {
-                    let into = &mut [IoSliceMut::new(&mut part)];
-                    Ok(recvmsg(&self.stream, into, &mut rights, RecvFlags::CMSG_CLOEXEC)?.bytes)
+                    let buffers = &mut [IoSliceMut::new(&mut buffer)];
+                    Ok(recvmsg(&self.stream, buffers, &mut rights, RecvFlags::CMSG_CLOEXEC)?.bytes)
                 })?;
-                for message in rights.drain() {
-                    if let RecvAncillaryMessage::ScmRights(sockets) = message {
+                for ancillary in rights.drain() {
+                    if let RecvAncillaryMessage::ScmRights(sockets) = ancillary {
                         self.sockets.borrow_mut().extend(sockets);
                     }
                 }
-                self.heard.borrow_mut().extend_from_slice(&part[..read]);
+                self.received.borrow_mut().extend_from_slice(&buffer[..read]);
                 Ok(read)
             });
-            if read.await? == 0 {
+            if read_result.await? == 0 {
                 return Err(ErrorKind::UnexpectedEof.into());
             }
         }
@@ -148,14 +153,14 @@
         self.sockets.borrow_mut().pop_front().ok_or_else(|| ErrorKind::InvalidData.into())
     }
 
-    /// The next socket that came with a word, which listens.
+    /// Takes the next socket that was passed with a message, a listening socket.
     pub fn receive_listener(&self) -> io::Result<TcpListener> {
         let listener = std::net::TcpListener::from(self.next_socket()?);
         listener.set_nonblocking(true)?;
-        TcpListener::os(tokio::net::TcpListener::from_std(listener)?)
+        TcpListener::from_tokio(tokio::net::TcpListener::from_std(listener)?)
     }
 
-    /// The next socket that came with a word, a connection.
+    /// Takes the next socket that was passed with a message, a connection.
     pub fn receive_stream(&self) -> io::Result<TcpStream> {
         let stream = std::net::TcpStream::from(self.next_socket()?);
         stream.set_nonblocking(true)?;
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -44,7 +44,7 @@
 pub trait Machine {
     /// Returns the Unix time in microseconds, on a clock that never steps back.
     fn now(&self) -> Micros;
-    /// Completes at that time or soon after it.
+    /// Completes at the time `at` or soon after it.
     fn sleep_until(&self, at: Micros) -> Local<'static, ()>;
     /// Runs a task concurrently with all others. The task ends with the process at the latest.
     fn spawn(&self, task: Local<'static, ()>);
@@ -96,7 +96,7 @@
         self.0.now()
     }
 
-    /// Completes at that time or soon after it.
+    /// Completes at the time `at` or soon after it.
     pub async fn sleep_until(&self, at: Micros) {
         self.0.sleep_until(at).await;
     }
--- a/crates/host/src/net.rs
+++ b/crates/host/src/net.rs
@@ -225,7 +225,7 @@
 pub struct TcpListener(Listener);
 
 impl TcpListener {
-    pub(crate) fn os(listener: tokio::net::TcpListener) -> io::Result<Self> {
+    pub(crate) fn from_tokio(listener: tokio::net::TcpListener) -> io::Result<Self> {
         let address = listener.local_addr()?;
         Ok(TcpListener(Listener::Os(listener, address)))
     }
--- a/crates/host/src/os.rs
+++ b/crates/host/src/os.rs
@@ -15,20 +15,20 @@
 
 /// The real machine. Its clock is the Unix time at the start, advanced by a monotonic clock.
 pub struct OsMachine {
-    started_at: Micros,
-    started_instant: Instant,
+    unix_start: Micros,
+    monotonic_start: Instant,
 }
 
 impl OsMachine {
     pub fn new() -> Self {
         let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        OsMachine { started_at: unix_time.as_micros() as Micros, started_instant: Instant::now() }
+        OsMachine { unix_start: unix_time.as_micros() as Micros, monotonic_start: Instant::now() }
     }
 }
 
 impl Machine for OsMachine {
     fn now(&self) -> Micros {
-        self.started_at + self.started_instant.elapsed().as_micros() as Micros
+        self.unix_start + self.monotonic_start.elapsed().as_micros() as Micros
     }
 
     fn sleep_until(&self, at: Micros) -> Local<'static, ()> {
@@ -54,7 +54,7 @@
             socket.set_nonblocking(true)?;
             socket.bind(&address.into())?;
             socket.listen(backlog)?;
-            TcpListener::os(tokio::net::TcpListener::from_std(socket.into())?)
+            TcpListener::from_tokio(tokio::net::TcpListener::from_std(socket.into())?)
         })
     }
 
--- a/crates/host/src/retry.rs
+++ b/crates/host/src/retry.rs
@@ -5,8 +5,8 @@
 use std::io;
 use std::time::Duration;
 
-/// A call without a delay between attempts is made at most this often. Transient failures hardly ever occur
-/// more often in a row, and a call that fails permanently costs only a few microseconds more.
+/// The most attempts of a call that is repeated without delay. Transient failures hardly ever occur more often
+/// in a row, and a call that fails permanently costs only a few microseconds more.
 const MAX_ATTEMPTS: usize = 16;
 /// Delays between the attempts of a call that opens something. They add up to an eighth of a second, which
 /// leaves time for another answer within the shortest time limit of a connection.
--- a/crates/host/src/task.rs
+++ b/crates/host/src/task.rs
@@ -84,7 +84,7 @@
             tokio::select! {
                 biased;
                 _ = self.wakeups.readable() => {
-                    // The flag says it all, so the result of the read is ignored.
+                    // Only the flag tells whether a signal arrived, so the result of the read is ignored.
                     let _ = self.wakeups.try_read(&mut [0; WAKEUP_BUFFER_BYTES]);
                 }
                 () = tokio::time::sleep(FLAG_CHECK_INTERVAL) => {}
