--- a/crates/decision/src/setup_limit.rs
+++ b/crates/decision/src/setup_limit.rs
@@ -12,7 +12,7 @@
 /// Number of zones with failed setups from which the cause counts as shared. Two are enough, as the loss of a
 /// zone affects the backends of one zone only.
 const SHARED_FAILURE_ZONES: usize = 2;
-/// The value of [`SHARED_FAILURE_BACKENDS`] in a large fleet for a proxy without a successful setup yet. Such
+/// The value of [`SHARED_FAILURE_BACKENDS`] among many proxies for a proxy without a successful setup. Such
 /// a proxy has no reason to expect more of another backend, and after a mass restart all proxies would try
 /// several times each.
 const SHARED_FAILURE_BACKENDS_BEFORE_SUCCESS: usize = 1;
--- a/crates/host/src/retry.rs
+++ b/crates/host/src/retry.rs
@@ -5,7 +5,7 @@
 use std::io;
 use std::time::Duration;
 
-/// The most attempts of a call that is repeated without delay. Transient failures hardly ever occur more often
+/// The most attempts of a call that is repeated without delay. Transient failures rarely occur more often
 /// in a row, and a call that fails permanently costs only a few microseconds more.
 const MAX_ATTEMPTS: usize = 16;
 /// Delays between the attempts of a call that opens something. They add up to an eighth of a second, which
