--- a/crates/decision/src/logic.rs
+++ b/crates/decision/src/logic.rs
@@ -112,7 +112,7 @@
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         if self.started.is_none() {
             self.started = Some(now);
-            self.admission.tick_at = now;
+            self.admission.tick_started_at = now;
             out.push(Action::Timer(self.admission.tick, TIMER_ADMISSION));
             if self.settings.delay_report.is_some() {
                 out.push(Action::Timer(EVALUATION_INTERVAL_US, TIMER_PROBES));
@@ -268,7 +268,7 @@
             self.admission.on_arrival(now);
             if self.rng.f64() >= self.admission.admit_probability {
                 // The next tick computes a new limit.
-                let wait = (self.admission.tick_at + self.admission.tick).saturating_sub(now);
+                let wait = (self.admission.tick_started_at + self.admission.tick).saturating_sub(now);
                 return self.finish(&state, wait, out);
             }
             self.admission.on_admitted(now);
@@ -320,7 +320,7 @@
             state.tried.push(i);
         };
         // While setups are limited, no other attempt follows this one, so it may use all the time left.
-        let time_divisor = match self.setup_limit.limits() {
+        let time_divisor = match self.setup_limit.is_limited() {
             true => 1,
             false => u64::from(self.settings.max_attempts - state.attempts).min(ATTEMPT_TIME_DIVISOR),
         };
@@ -412,14 +412,14 @@
     /// Records in the setup limit how a setup ended that established no connection.
     fn record_setup(&mut self, now: Micros, status: Status, i: usize, sent_at: Micros, state: &RequestState) {
         match status {
-            Status::Ok => self.setup_limit.succeeded(),
+            Status::Ok => self.setup_limit.record_success(),
             Status::Error | Status::Timeout => {
                 let class = self.class(&state.request);
                 let (target, deadline, location) =
                     (class.setup_target, class.deadline, (i, self.backends[i].member.zone));
-                self.setup_limit.failed(now, sent_at, location, target, deadline);
+                self.setup_limit.record_failure(now, sent_at, location, target, deadline);
             }
-            _ => self.setup_limit.end(),
+            _ => self.setup_limit.finish(),
         }
     }
 
