--- a/crates/proxy/src/core.rs
+++ b/crates/proxy/src/core.rs
@@ -1,4 +1,5 @@
-//! Owns the decision module, its clock and its deadlines: hands events in and actions out. Knows no front.
+//! Runs the decision module: owns its clock and its timers, passes events to it and carries out its actions.
+//! Independent of the protocol towards clients and backends.
 
 use crate::deadlines::Deadlines;
 use crate::event_counts::{ActionTrigger, EventCounts};
@@ -19,57 +20,60 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::sync::{Notify, oneshot};
 
-/// Notes of kind 2 come at most this often for each backend; microseconds.
-const NOTE_GAP: Micros = 1_000_000;
-/// They tell of delays over this part of the shortest message aim, and once of the return below it.
-const NOTED_PART: u64 = 3;
+/// Shortest interval between two reported delays ([`Measurement::Delay`]) of one backend.
+const DELAY_REPORT_INTERVAL_US: Micros = 1_000_000;
+/// A delay above the shortest message target divided by this is slow. Slow delays are reported, and the first
+/// delay after them that is not slow.
+const SLOW_DELAY_DIVISOR: u64 = 3;
 
-/// What the module wants of a job.
+/// A command of the decision module to the task that serves a request.
 #[derive(Debug)]
 pub enum RequestCommand {
-    /// Try that backend, and stop waiting at that time.
+    /// Start an attempt at that backend, and stop waiting for it at that time.
     Attempt { backend: BackendId, until: Micros },
-    /// Answer: refused, with the time to stay away.
+    /// Send the final answer "refused", with the time after which the client may retry.
     Refuse(Option<Micros>),
-    /// Answer: failed.
+    /// Send the final answer "failed".
     Fail,
-    /// Send the client away politely; before it is served, nothing.
+    /// Ask the client to reconnect elsewhere. Ignored until the connection is established.
     Move,
-    /// Hand the connection on to the process after, once it stands.
+    /// Hand the established connection over to the successor process. Ignored until it is established.
     HandOver,
 }
 
-/// A connection on its way to the process after.
+/// A connection on its way to the successor process.
 pub struct PendingHandover {
+    /// The description of the connection that is sent along.
     pub connection: HandoverRecord,
+    /// The connection itself.
     pub standing: EstablishedConnection,
-    /// Told once the other holds it, or given it back.
+    /// Receives `Ok` once the successor holds the connection, or the connection back.
     pub done: oneshot::Sender<Result<(), EstablishedConnection>>,
 }
 
 struct ActiveRequest {
     commands: UnboundedSender<RequestCommand>,
-    standing: bool,
+    established: bool,
 }
 
-/// What was last noted of the delay at a backend.
+/// The last reported delay of a backend.
 #[derive(Default)]
 struct LastDelayReport {
     at: Micros,
     slow: bool,
 }
 
-/// What decides: the decision module, or the module in a wrapper that an experiment supplies.
+/// The decision module, or a wrapper around it that an experiment supplies.
 pub trait DecisionModule {
-    /// Takes an event in and puts out what is to be done, as [`Balancer::handle`] does.
-    fn handle_event(&mut self, now: Micros, event: Event, out: &mut Vec<Action>);
-    /// What it knows.
+    /// Handles an event and appends the resulting actions, as [`Balancer::handle`] does.
+    fn handle_event(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>);
+    /// The balancer, for reading its state.
     fn balancer(&self) -> &Balancer;
 }
 
 impl DecisionModule for Balancer {
-    fn handle_event(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
-        self.handle(now, event, out);
+    fn handle_event(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
+        self.handle(now, event, actions);
     }
 
     fn balancer(&self) -> &Balancer {
@@ -77,73 +81,80 @@
     }
 }
 
+/// The state that all tasks of the proxy share.
 pub struct Core {
+    /// The machine that the proxy runs on.
     pub host: Host,
     module: RefCell<Box<dyn DecisionModule>>,
     settings: Settings,
+    /// All timers of the process.
     pub deadlines: Deadlines,
     requests: RefCell<BTreeMap<RequestId, ActiveRequest>>,
-    /// What tells each of them from the others, in its client's words.
+    /// The identity of each active request, as its client sent it.
     identities: RefCell<BTreeSet<String>>,
     next_request_id: Cell<RequestId>,
     addresses: RefCell<BTreeMap<BackendId, SocketAddr>>,
     list_requested: Notify,
     probes: UnboundedSender<BackendId>,
-    noted: RefCell<BTreeMap<BackendId, LastDelayReport>>,
+    last_delay_reports: RefCell<BTreeMap<BackendId, LastDelayReport>>,
     event_counts: RefCell<EventCounts>,
+    /// The metrics that operators read.
     pub metrics: Metrics,
-    /// The process after, once it has taken over.
+    /// The channel to the successor process, once that process has taken over.
     successor: RefCell<Option<UnboundedSender<PendingHandover>>>,
-    /// Those beside the jobs who are owed a word, or the rest of one: being heard, or being told the last.
+    /// Number of clients without an active request that still await an answer or the rest of one: the proxy
+    /// is reading their request or sending their final answer.
     shutdown_guards: Cell<usize>,
-    /// Rung when nobody is owed anything any more.
+    /// Notified when no client awaits an answer any more.
     idle: Notify,
-    /// Nothing more is begun.
+    /// Set when the proxy starts no more attempts.
     pub draining: Latch,
-    /// The process is about to end: whatever a job is at, its client is owed a word now.
+    /// Set when the process is about to exit. Every client then gets its final answer, whatever the state of
+    /// its request.
     pub terminating: Latch,
 }
 
-/// Something that happens once.
+/// A flag that is set once and can be awaited.
 #[derive(Default)]
 pub struct Latch {
-    reached: Cell<bool>,
-    rung: Notify,
+    is_set: Cell<bool>,
+    notify: Notify,
 }
 
 impl Latch {
+    /// Sets the flag and wakes all tasks that wait for it.
     pub fn set(&self) {
-        self.reached.set(true);
-        self.rung.notify_waiters();
+        self.is_set.set(true);
+        self.notify.notify_waiters();
     }
 
-    /// Waits for it; at once where it has happened.
+    /// Waits until the flag is set; returns at once if it already is.
     pub async fn wait(&self) {
-        while !self.reached.get() {
-            self.rung.notified().await;
+        while !self.is_set.get() {
+            self.notify.notified().await;
         }
     }
 }
 
-/// Somebody is owed a word until this is dropped.
+/// Delays the exit of the process until dropped: a client awaits an answer or the rest of one.
 pub struct ShutdownGuard(Rc<Core>);
 
 impl Drop for ShutdownGuard {
     fn drop(&mut self) {
         self.0.shutdown_guards.set(self.0.shutdown_guards.get() - 1);
-        self.0.ring_if_idle();
+        self.0.notify_if_idle();
     }
 }
 
 impl Core {
-    /// The core, and the probes that the module asks for.
+    /// Returns the core, and the channel of backends that the decision module wants probed.
     pub fn new(
         host: Host,
         settings: Settings,
         module: Box<dyn DecisionModule>,
         metrics: Metrics,
     ) -> (Rc<Self>, UnboundedReceiver<BackendId>) {
-        let (probes, asked_probes) = unbounded_channel();
+        let (probes, requested_probes) = unbounded_channel();
         let core = Core {
             module: RefCell::new(module),
             event_counts: RefCell::new(EventCounts::new(&settings, host.now())),
@@ -157,25 +168,27 @@
             addresses: RefCell::default(),
             list_requested: Notify::new(),
             probes,
-            noted: RefCell::default(),
+            last_delay_reports: RefCell::default(),
             successor: RefCell::default(),
             shutdown_guards: Cell::new(0),
             idle: Notify::new(),
             draining: Latch::default(),
             terminating: Latch::default(),
         };
-        (Rc::new(core), asked_probes)
+        (Rc::new(core), requested_probes)
     }
 
+    /// The current time.
     pub fn now(&self) -> Micros {
         self.deadlines.now()
     }
 
+    /// The settings of the decision module.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// Hands an event to the module and its actions to whom they concern.
+    /// Passes an event to the decision module and carries out the resulting actions.
     pub fn dispatch_event(&self, event: Event) {
         let (mut actions, now, trigger) = (Vec::new(), self.now(), ActionTrigger::from_event(&event));
         self.count_event(now, &event);
@@ -191,7 +204,7 @@
                 }
                 Action::Fail(id) => self.send_command(id, RequestCommand::Fail),
                 Action::Move(id) => self.send_command(id, RequestCommand::Move),
-                // The probing task lives as long as the process.
+                // Cannot fail: the probing task runs as long as the process.
                 Action::Probe(backend) => drop(self.probes.send(backend)),
                 Action::Subscribe => self.list_requested.notify_one(),
                 Action::Timer(after, token) => self.deadlines.set(self.now() + after, token),
@@ -199,7 +212,7 @@
         }
     }
 
-    /// Enters an event in the ledger, after the line of the second that it closes, if any.
+    /// Counts an event. Before that, logs the counts of the previous second if it has just ended.
     fn count_event(&self, now: Micros, event: &Event) {
         let line = self.event_counts.borrow_mut().finish_second(now);
         if let Some(line) = line {
@@ -208,14 +221,14 @@
         self.event_counts.borrow_mut().count_event(now, event);
     }
 
-    /// A job that left meanwhile needs no orders.
-    pub fn send_command(&self, id: RequestId, order: RequestCommand) {
+    /// Sends a command to a request. A request that has ended meanwhile needs no command.
+    pub fn send_command(&self, id: RequestId, command: RequestCommand) {
         if let Some(request) = self.requests.borrow().get(&id) {
-            let _ = request.commands.send(order);
+            let _ = request.commands.send(command);
         }
     }
 
-    /// Sweeps the deadlines, turn after turn.
+    /// Runs the timers: passes each due timer of the decision module to it, and wakes the tasks that wait.
     pub async fn run_timers(self: Rc<Self>) {
         loop {
             for token in self.deadlines.wait_due().await {
@@ -224,34 +237,37 @@
         }
     }
 
-    /// Forgets that the module asked for the machine list, as it was read meanwhile.
+    /// Clears the decision module's request for the endpoint list: the proxy has read the list meanwhile.
     pub fn clear_list_request(&self) {
-        // Takes the permit, if there is one.
+        // Consumes the stored permit, if there is one.
         pin!(self.list_requested.notified()).enable();
     }
 
-    /// Waits until the module asks for the machine list.
+    /// Waits until the decision module asks for the endpoint list.
     pub async fn list_requested(&self) {
         self.list_requested.notified().await;
     }
 
+    /// Sets the address of a backend as discovery reported it.
     pub fn set_address(&self, backend: BackendId, address: SocketAddr) {
         self.addresses.borrow_mut().insert(backend, address);
     }
 
+    /// The address of a backend, if discovery reported one.
     pub fn address(&self, backend: &BackendId) -> Option<SocketAddr> {
         self.addresses.borrow().get(backend).copied()
     }
 
-    /// Reports how long a message took at a backend, as often as the module expects to hear of it.
+    /// Reports to the decision module how long a message took at a backend, at most once an interval and only
+    /// while the backend is slow or has just recovered.
     pub fn report_delay(&self, id: RequestId, backend: &BackendId, delay: Micros) {
-        let aims = self.settings.classes.iter().map(|class| class.message_target);
-        let Some(aim) = aims.filter(|&aim| aim > 0).min() else { return };
-        let (now, slow) = (self.now(), delay > aim / NOTED_PART);
+        let targets = self.settings.classes.iter().map(|class| class.message_target);
+        let Some(shortest) = targets.filter(|&target| target > 0).min() else { return };
+        let (now, slow) = (self.now(), delay > shortest / SLOW_DELAY_DIVISOR);
         {
-            let mut noted = self.noted.borrow_mut();
-            let last = noted.entry(backend.clone()).or_default();
-            if !(slow || last.slow) || now < last.at + NOTE_GAP {
+            let mut last_reports = self.last_delay_reports.borrow_mut();
+            let last = last_reports.entry(backend.clone()).or_default();
+            if !(slow || last.slow) || now < last.at + DELAY_REPORT_INTERVAL_US {
                 return;
             }
             *last = LastDelayReport { at: now, slow };
@@ -259,91 +275,93 @@
         self.dispatch_event(Event::Measured(id, Measurement::Delay(delay)));
     }
 
-    /// There is a process after this one, which takes what is handed on, or (none) there is none any more.
+    /// Sets the channel to the successor process, which takes over connections. `None`: there is none any
+    /// more.
     pub fn set_successor(&self, successor: Option<UnboundedSender<PendingHandover>>) {
         *self.successor.borrow_mut() = successor;
     }
 
-    /// Whether connections can be handed on.
+    /// Whether a successor process can take over connections.
     pub fn has_successor(&self) -> bool {
         self.successor.borrow().is_some()
     }
 
-    /// Hands a connection on; it is back where nobody took it.
+    /// Hands a connection over to the successor process. Returns the connection where no successor took it.
     pub async fn hand_over_connection(
         &self,
         connection: HandoverRecord,
-        standing: EstablishedConnection,
+        established: EstablishedConnection,
     ) -> Result<(), EstablishedConnection> {
-        let (done, told) = oneshot::channel();
-        let Some(successor) = self.successor.borrow().clone() else { return Err(standing) };
-        match successor.send(PendingHandover { connection, standing, done }) {
-            // Whoever takes it gives it back before it ends; a connection that a panic there lost is lost.
-            Ok(()) => told.await.unwrap_or(Ok(())),
+        let (done, outcome) = oneshot::channel();
+        let Some(successor) = self.successor.borrow().clone() else { return Err(established) };
+        match successor.send(PendingHandover { connection, standing: established, done }) {
+            // The handover task returns an unaccepted connection before it ends. A panic in that task loses
+            // the connection.
+            Ok(()) => outcome.await.unwrap_or(Ok(())),
             Err(unsent) => Err(unsent.0.standing),
         }
     }
 
-    /// The number of jobs.
+    /// The number of active requests.
     pub fn active_requests(&self) -> usize {
         self.requests.borrow().len()
     }
 
-    /// The figures as staff read them, true of this moment.
+    /// The current metrics in the text format that operators read.
     pub fn metrics_text(&self) -> String {
         let (listed, avoided) = self.module.borrow().balancer().backend_counts(self.now());
         self.metrics.encode(Gauges { active_requests: self.active_requests(), listed, avoided })
     }
 
-    /// Whether a machine list ever named that backend, or staff withhold it.
+    /// Whether an endpoint list ever named that backend, or operators put it into maintenance.
     pub fn knows_backend(&self, backend: &str) -> bool {
         self.module.borrow().balancer().knows(backend)
     }
 
-    /// The backends that staff withhold.
+    /// The backends that operators put into maintenance.
     pub fn backends_in_maintenance(&self) -> Vec<String> {
         self.module.borrow().balancer().backends_in_maintenance().map(str::to_string).collect()
     }
 
-    /// What the module has learned.
+    /// What the decision module has learned about the backends.
     pub fn learned_state(&self) -> LearnedState {
         self.module.borrow().balancer().learned_state()
     }
 
-    /// The jobs whose connections stand.
+    /// The requests whose connections are established.
     pub fn established_requests(&self) -> Vec<RequestId> {
-        self.requests.borrow().iter().filter(|(_, request)| request.standing).map(|(&id, _)| id).collect()
+        self.requests.borrow().iter().filter(|(_, request)| request.established).map(|(&id, _)| id).collect()
     }
 
-    /// Whether the attempt of that job that is out may still be written to its backend.
+    /// Whether the request's attempt in progress may still be written to its backend.
     pub fn may_send_attempt(&self, id: RequestId) -> bool {
         self.module.borrow().balancer().may_send_attempt(self.now(), id)
     }
 
-    /// Begins nothing more; the module answers whoever waits.
+    /// Starts no more attempts. The decision module answers every request that waits.
     pub fn stop(&self) {
         self.draining.set();
         self.dispatch_event(Event::Stopping);
     }
 
-    /// Somebody is owed a word, and the process does not end before it is out, if it can help it.
+    /// A guard for a client that awaits an answer: the process tries not to exit before the guard is dropped.
     pub fn shutdown_guard(self: &Rc<Self>) -> ShutdownGuard {
         self.shutdown_guards.set(self.shutdown_guards.get() + 1);
         ShutdownGuard(self.clone())
     }
 
-    /// Whether no job is left and nobody is owed a word.
+    /// Whether no request is active and no client awaits an answer.
     pub fn is_idle(&self) -> bool {
         self.requests.borrow().is_empty() && self.shutdown_guards.get() == 0
     }
 
-    fn ring_if_idle(&self) {
+    fn notify_if_idle(&self) {
         if self.is_idle() {
             self.idle.notify_waiters();
         }
     }
 
-    /// Waits until that is so.
+    /// Waits until no request is active and no client awaits an answer.
     pub async fn wait_until_idle(&self) {
         while !self.is_idle() {
             self.idle.notified().await;
@@ -351,65 +369,79 @@
     }
 }
 
-/// A job's place at the core. Leaving it, however the job ends, settles what the module still expects.
+/// A request's registration with the core. However the request ends, dropping the handle sends the events
+/// that the decision module still expects.
 pub struct RequestHandle {
     core: Rc<Core>,
+    /// The request's identity in the decision module.
     pub id: RequestId,
     class: usize,
+    /// The request's identity as its client sent it.
     pub identity: String,
+    /// The commands of the decision module.
     pub commands: UnboundedReceiver<RequestCommand>,
-    /// Number of attempts begun.
+    /// Number of attempts started.
     attempts: u32,
-    /// When the attempt that is out began.
-    out: Option<Micros>,
-    /// Whether the final answer was given.
+    /// When the attempt in progress started.
+    attempt_started: Option<Micros>,
+    /// Whether the final answer is known, or the decision module expects none.
     answered: bool,
 }
 
 impl RequestHandle {
-    /// A place for that job of that class, unless it is here already.
+    /// Registers a request of that class. `None` if a request with that identity is active already.
     pub fn register(core: &Rc<Core>, identity: &str, class: usize) -> Option<Self> {
         if !core.identities.borrow_mut().insert(identity.to_string()) {
             return None;
         }
         let id = core.next_request_id.replace(core.next_request_id.get() + 1);
         let (sender, commands) = unbounded_channel();
-        core.requests.borrow_mut().insert(id, ActiveRequest { commands: sender, standing: false });
+        core.requests.borrow_mut().insert(id, ActiveRequest { commands: sender, established: false });
         let (core, identity) = (core.clone(), identity.to_string());
-        Some(RequestHandle { core, id, class, identity, commands, attempts: 0, out: None, answered: false })
-    }
-
-    /// The class of its request.
+        Some(RequestHandle {
+            core,
+            id,
+            class,
+            identity,
+            commands,
+            attempts: 0,
+            attempt_started: None,
+            answered: false,
+        })
+    }
+
+    /// The class of the request.
     pub fn class(&self) -> usize {
         self.class
     }
 
-    /// An attempt begins.
+    /// Records the start of an attempt.
     pub fn start_attempt(&mut self) {
         self.attempts += 1;
-        self.out = Some(self.core.now());
+        self.attempt_started = Some(self.core.now());
     }
 
-    /// The attempt's connection stands.
+    /// Records that the attempt's connection is established, and reports it to the decision module.
     pub fn report_established(&mut self) {
-        let sent = self.out.unwrap_or_else(|| self.core.now());
-        let latency = self.core.now() - sent;
+        let started = self.attempt_started.unwrap_or_else(|| self.core.now());
+        let latency = self.core.now() - started;
         self.record_established();
         self.core.dispatch_event(Event::Established { id: self.id, attempt: self.attempts - 1, latency });
     }
 
-    /// The connection stands already, came from the process before, and was counted there.
+    /// Records an established connection that the predecessor process handed over. That process counted its
+    /// answer.
     pub fn record_adopted(&mut self) {
         self.mark_answered();
         self.set_established();
     }
 
-    /// Its load, as the module last heard of it; microseconds of work a second.
+    /// The request's load as last reported to the decision module, in microseconds of work a second.
     pub fn load(&self) -> Option<f64> {
         self.core.module.borrow().balancer().load_of(self.id)
     }
 
-    /// The connection stands already, and the module was told so.
+    /// Records that the connection is established, without an event to the decision module.
     pub fn record_established(&mut self) {
         self.record_answer(FinalAnswer::Served);
         self.set_established();
@@ -417,29 +449,29 @@
 
     fn set_established(&self) {
         if let Some(request) = self.core.requests.borrow_mut().get_mut(&self.id) {
-            request.standing = true;
+            request.established = true;
         }
     }
 
-    /// The attempt that is out has ended.
+    /// Ends the attempt in progress, if there is one, and reports its result to the decision module.
     pub fn end_attempt(&mut self, status: Status) {
-        let Some(sent) = self.out.take() else { return };
+        let Some(started) = self.attempt_started.take() else { return };
         if let Some(request) = self.core.requests.borrow_mut().get_mut(&self.id) {
-            request.standing = false;
+            request.established = false;
         }
         let (now, closed) = (self.core.now(), self.answered);
         let attempt = self.attempts - 1;
-        let ended = AttemptResult { id: self.id, attempt, status, latency: now - sent, closed };
-        self.core.dispatch_event(Event::AttemptEnded(ended));
+        let result = AttemptResult { id: self.id, attempt, status, latency: now - started, closed };
+        self.core.dispatch_event(Event::AttemptEnded(result));
     }
 
-    /// The final answer, which is the module's, is known.
+    /// Records and counts the final answer, which the decision module knows as well.
     pub fn record_answer(&mut self, answer: FinalAnswer) {
         self.answered = true;
         self.core.metrics.count_answer(self.class, answer);
     }
 
-    /// The module is owed nothing for this job.
+    /// Marks the request as answered, without counting an answer. The decision module expects none for it.
     pub fn mark_answered(&mut self) {
         self.answered = true;
     }
@@ -449,16 +481,16 @@
     fn drop(&mut self) {
         self.core.requests.borrow_mut().remove(&self.id);
         self.core.identities.borrow_mut().remove(&self.identity);
-        self.core.ring_if_idle();
-        let settle = AssertUnwindSafe(|| {
+        self.core.notify_if_idle();
+        let finish = AssertUnwindSafe(|| {
             if !std::mem::replace(&mut self.answered, true) {
                 self.core.dispatch_event(Event::ClientGone(self.id));
             }
             self.end_attempt(Status::Cancelled);
         });
-        // A panic that unwinds this job must meet no second one here, which would end the process.
-        if catch_unwind(settle).is_err() {
-            tracing::error!(target: "job", "{}: a panic while it was settled", self.id);
+        // A second panic while a first one unwinds this task would abort the process.
+        if catch_unwind(finish).is_err() {
+            tracing::error!(target: "job", "request {}: panic while its handle was dropped", self.id);
         }
     }
 }
