--- a/crates/proxy/src/request_handler.rs
+++ b/crates/proxy/src/request_handler.rs
@@ -1,4 +1,4 @@
-//! The life of one job, from its opening to its final answer or the end of its connection.
+//! Serves one request, from the client's request line to the final answer or the end of the connection.
 
 use crate::attempt::{self, BackendConnection};
 use crate::core::{Core, RequestCommand, RequestHandle};
@@ -13,119 +13,135 @@
 use std::io;
 use std::rc::Rc;
 
-/// The final answer leaves this long before the client stops waiting: it has a way to go; microseconds.
-const MARGIN: Micros = 20_000;
-/// Connections that stood before this proxy's start may take this long to be up again; microseconds.
-const RESUME: Micros = 35_000_000;
-/// Gap between tries to resume one; microseconds.
-const RESUME_GAP: Micros = 250_000;
+/// The final answer is sent this long before the client stops waiting, to allow for its transit time.
+const ANSWER_MARGIN_US: Micros = 20_000;
+/// Time limit for resuming a connection that was established before this proxy started.
+const RESUME_TIMEOUT_US: Micros = 35_000_000;
+/// Interval between attempts to resume a connection.
+const RESUME_RETRY_INTERVAL_US: Micros = 250_000;
 
-/// Serves one job. The module is asked what to do at each `commands.recv()`.
+/// Serves one request. The decision module's commands arrive at each `commands.recv()`.
 pub async fn run(
     core: Rc<Core>,
     protocol: Rc<dyn Protocol>,
     client: TcpStream,
-    opening: Box<dyn ClientRequest>,
+    client_request: Box<dyn ClientRequest>,
 ) {
-    let class = opening.request().class;
-    let Some(mut seat) = RequestHandle::register(&core, opening.identity(), class) else {
-        // Whoever holds that job is not to suffer from another that says it is the same.
+    let class = client_request.request().class;
+    let Some(mut request_handle) = RequestHandle::register(&core, client_request.identity(), class) else {
+        // The client with the active request must not suffer from another client that claims the same
+        // identity.
         core.metrics.count_answer(class, FinalAnswer::Failed);
         return send_and_close(&core, client, &protocol.failure()).await;
     };
-    let (wait, resume_backend) = (opening.timeout(), opening.resume_backend());
-    let deadline = core.now() + wait.saturating_sub(MARGIN.min(wait / 4));
-    let request = Request { id: seat.id, deadline, ..opening.request() };
+    let (timeout, resume_backend) = (client_request.timeout(), client_request.resume_backend());
+    let deadline = core.now() + timeout.saturating_sub(ANSWER_MARGIN_US.min(timeout / 4));
+    let request = Request { id: request_handle.id, deadline, ..client_request.request() };
     if let Some(backend) = resume_backend {
-        return resume(&core, &*protocol, seat, client, &*opening, request, backend).await;
+        return resume(&core, &*protocol, request_handle, client, &*client_request, request, backend).await;
     }
     core.dispatch_event(Event::Request(request.clone()));
-    let link = loop {
-        let order = tokio::select! {
+    let connection = loop {
+        let command = tokio::select! {
             biased;
-            // First: nothing is begun for one that has left, though an order is there in the same moment.
-            left = breaks_off(&client) => return dismiss(&core, &*protocol, seat, client, left).await,
-            order = seat.commands.recv() => order.unwrap_or(RequestCommand::Fail),
-            // The module ends a job before this; should it not, the client still gets an answer.
-            () = core.deadlines.until(deadline + MARGIN / 2) => break None,
+            // Polled first: no attempt starts for a client that has left, even if a command is ready as well.
+            interruption = wait_for_interruption(&client) =>
+                return end_interrupted(&core, &*protocol, request_handle, client, interruption).await,
+            command = request_handle.commands.recv() => command.unwrap_or(RequestCommand::Fail),
+            // The decision module ends the request before this time. If it fails to, the client still gets an
+            // answer.
+            () = core.deadlines.until(deadline + ANSWER_MARGIN_US / 2) => break None,
         };
-        match order {
+        match command {
             RequestCommand::Attempt { backend, until } => {
-                seat.start_attempt();
-                let (id, broke_off) = (seat.id, Cell::new(None));
-                // Guards against whatever came while it connected: a drain, the client's end, the end of a window
-                // for repeats or of the time that is left.
-                let line = || {
-                    broke_off.set(broken_off(&client));
-                    let goes = broke_off.get().is_none() && core.may_send_attempt(id);
-                    goes.then(|| opening.encode_for_backend(until.saturating_sub(core.now())))
+                request_handle.start_attempt();
+                let (id, late_interruption) = (request_handle.id, Cell::new(None));
+                // Guards against changes while the proxy was connecting: a drain may have begun, the client
+                // may have left, and the repeat window or the remaining time may have ended.
+                let encode_request = || {
+                    late_interruption.set(interruption_now(&client));
+                    let permitted = late_interruption.get().is_none() && core.may_send_attempt(id);
+                    permitted.then(|| client_request.encode_for_backend(until.saturating_sub(core.now())))
                 };
                 let attempt = tokio::select! {
                     biased;
-                    left = breaks_off(&client) => return dismiss(&core, &*protocol, seat, client, left).await,
-                    attempt = attempt::run(&core, &*protocol, core.address(&backend), line, until, class) =>
-                        attempt,
+                    interruption = wait_for_interruption(&client) =>
+                        return end_interrupted(&core, &*protocol, request_handle, client, interruption).await,
+                    attempt = attempt::run(
+                        &core, &*protocol, core.address(&backend), encode_request, until, class,
+                    ) => attempt,
                 };
-                if let Some(left) = broke_off.get() {
-                    return dismiss(&core, &*protocol, seat, client, left).await;
+                if let Some(interruption) = late_interruption.get() {
+                    return end_interrupted(&core, &*protocol, request_handle, client, interruption).await;
                 }
                 match attempt {
-                    Ok(link) => break Some((link, backend)),
-                    // Served to its end before it was up: that is the answer, and no try follows.
-                    Err(ending) if ending.status() == Status::Ok => {
-                        seat.record_answer(FinalAnswer::Served);
-                        seat.end_attempt(Status::Ok);
+                    Ok(connection) => break Some((connection, backend)),
+                    // The backend served the request to its end before it reported the connection as
+                    // established: that is the final answer, and no retry follows.
+                    Err(attempt_end) if attempt_end.status() == Status::Ok => {
+                        request_handle.record_answer(FinalAnswer::Served);
+                        request_handle.end_attempt(Status::Ok);
                         return send_and_close(&core, client, protocol.served()).await;
                     }
-                    Err(ending) => seat.end_attempt(ending.status()),
+                    Err(attempt_end) => request_handle.end_attempt(attempt_end.status()),
                 }
             }
-            RequestCommand::Refuse(wait) => {
-                seat.record_answer(FinalAnswer::Refused);
-                return send_and_close(&core, client, &protocol.refusal(wait)).await;
+            RequestCommand::Refuse(retry_after) => {
+                request_handle.record_answer(FinalAnswer::Refused);
+                return send_and_close(&core, client, &protocol.refusal(retry_after)).await;
             }
             RequestCommand::Fail => {
-                seat.record_answer(FinalAnswer::Failed);
+                request_handle.record_answer(FinalAnswer::Failed);
                 return send_and_close(&core, client, &protocol.failure()).await;
             }
             RequestCommand::Move | RequestCommand::HandOver => {}
         }
     };
-    let Some((link, backend)) = link else {
+    let Some((connection, backend)) = connection else {
         core.metrics.count_answer(class, FinalAnswer::Failed);
         return send_and_close(&core, client, &protocol.failure()).await;
     };
-    seat.report_established();
-    let (standing, behind) = EstablishedConnection::from_attempt(client, link);
-    stand(&core, &*protocol, seat, backend, request, standing, behind).await;
+    request_handle.report_established();
+    let (established, trailing) = EstablishedConnection::from_attempt(client, connection);
+    serve_established(&core, &*protocol, request_handle, backend, request, established, trailing).await;
 }
 
-/// The life of a connection that is up, here until its end or until another process holds it.
-async fn stand(
+/// Serves an established connection until it ends or the successor process holds it.
+async fn serve_established(
     core: &Rc<Core>,
     protocol: &dyn Protocol,
-    mut seat: RequestHandle,
+    mut request_handle: RequestHandle,
     backend: BackendId,
     request: Request,
-    mut standing: EstablishedConnection,
-    mut behind: Vec<u8>,
+    mut established: EstablishedConnection,
+    mut trailing: Vec<u8>,
 ) {
     loop {
-        match relay::run(core, protocol, &mut seat, &backend, standing, std::mem::take(&mut behind)).await {
-            RelayOutcome::Ended(ending) => return seat.end_attempt(ending.status()),
-            RelayOutcome::Detached(parted) => {
-                let kept =
-                    core.hand_over_connection(HandoverRecord::new(&seat, &backend, &request), parted).await;
-                // Where nobody took it, the client is moved, as it would be without another process.
-                let Err(back) = kept else { return seat.end_attempt(Status::Cancelled) };
-                standing = back;
-                core.send_command(seat.id, RequestCommand::Move);
+        match relay::run(
+            core,
+            protocol,
+            &mut request_handle,
+            &backend,
+            established,
+            std::mem::take(&mut trailing),
+        )
+        .await
+        {
+            RelayOutcome::Ended(attempt_end) => return request_handle.end_attempt(attempt_end.status()),
+            RelayOutcome::Detached(detached) => {
+                let outcome = core
+                    .hand_over_connection(HandoverRecord::new(&request_handle, &backend, &request), detached)
+                    .await;
+                // If no successor took the connection, the proxy moves the client, as without a successor.
+                let Err(returned) = outcome else { return request_handle.end_attempt(Status::Cancelled) };
+                established = returned;
+                core.send_command(request_handle.id, RequestCommand::Move);
             }
         }
     }
 }
 
-/// A connection that stands, as one process tells another of it.
+/// The description of an established connection in a handover message.
 #[derive(Deserialize, Serialize)]
 pub struct HandoverRecord {
     identity: String,
@@ -134,141 +150,148 @@
     class: usize,
     key: Option<u64>,
     group: Option<u64>,
-    /// Its load as last known; microseconds of work a second.
+    /// The last known load of the connection, in microseconds of work a second.
     load: Option<f64>,
 }
 
 impl HandoverRecord {
-    fn new(seat: &RequestHandle, backend: &BackendId, request: &Request) -> Self {
+    fn new(request_handle: &RequestHandle, backend: &BackendId, request: &Request) -> Self {
         HandoverRecord {
-            identity: seat.identity.clone(),
+            identity: request_handle.identity.clone(),
             backend: backend.to_string(),
             class: request.class,
             key: request.key,
             group: request.group,
-            load: seat.load().or(request.load_hint),
+            load: request_handle.load().or(request.load_hint),
         }
     }
 }
 
-/// Takes a connection over from the process before; false where its job is here already.
+/// Takes over a connection from the predecessor process. Returns false if its request is active here already.
 pub fn adopt(
     core: &Rc<Core>,
     protocol: Rc<dyn Protocol>,
-    connection: HandoverRecord,
-    standing: EstablishedConnection,
+    record: HandoverRecord,
+    established: EstablishedConnection,
 ) -> bool {
-    let HandoverRecord { identity, backend, class, key, group, load } = connection;
-    let Some(mut seat) = RequestHandle::register(core, &identity, class) else { return false };
+    let HandoverRecord { identity, backend, class, key, group, load } = record;
+    let Some(mut request_handle) = RequestHandle::register(core, &identity, class) else { return false };
     let (backend, request) = (
         BackendId::from(backend),
-        Request { id: seat.id, class, key, group, load_hint: load, ..Request::default() },
+        Request { id: request_handle.id, class, key, group, load_hint: load, ..Request::default() },
     );
-    seat.start_attempt();
+    request_handle.start_attempt();
     core.dispatch_event(Event::Resumed(request.clone(), backend.clone()));
-    seat.record_adopted();
-    let held = core.clone();
-    core.host
-        .spawn(async move { stand(&held, &*protocol, seat, backend, request, standing, Vec::new()).await });
+    request_handle.record_adopted();
+    let task_core = core.clone();
+    core.host.spawn(async move {
+        serve_established(&task_core, &*protocol, request_handle, backend, request, established, Vec::new())
+            .await
+    });
     true
 }
 
-/// Takes up a connection again that stood before this proxy's start, at the backend that holds it.
+/// Resumes a connection that was established before this proxy started, at the backend that served it.
 async fn resume(
     core: &Rc<Core>,
     protocol: &dyn Protocol,
-    mut seat: RequestHandle,
+    mut request_handle: RequestHandle,
     client: TcpStream,
-    opening: &dyn ClientRequest,
+    client_request: &dyn ClientRequest,
     request: Request,
     backend: BackendId,
 ) {
-    // Until it stands the module knows nothing of it and is owed nothing.
-    seat.mark_answered();
-    let (until, class) = (core.now() + RESUME, request.class);
-    let link: BackendConnection = loop {
-        let line = || {
-            broken_off(&client)
+    // Until the connection is established, the decision module does not know the request and expects no
+    // answer for it.
+    request_handle.mark_answered();
+    let (until, class) = (core.now() + RESUME_TIMEOUT_US, request.class);
+    let connection: BackendConnection = loop {
+        let encode_request = || {
+            interruption_now(&client)
                 .is_none()
-                .then(|| opening.encode_for_backend(until.saturating_sub(core.now())))
+                .then(|| client_request.encode_for_backend(until.saturating_sub(core.now())))
         };
-        let again_at = core.now() + RESUME_GAP;
+        let retry_at = core.now() + RESUME_RETRY_INTERVAL_US;
         let attempt = async {
-            match attempt::run(core, protocol, core.address(&backend), line, until, class).await {
-                Ok(link) => Some(link),
+            match attempt::run(core, protocol, core.address(&backend), encode_request, until, class).await {
+                Ok(connection) => Some(connection),
                 Err(_) => {
-                    core.deadlines.until(again_at).await;
+                    core.deadlines.until(retry_at).await;
                     None
                 }
             }
         };
-        let over = tokio::select! {
+        let give_up = tokio::select! {
             biased;
-            left = breaks_off(&client) => return dismiss(core, protocol, seat, client, left).await,
+            interruption = wait_for_interruption(&client) =>
+                return end_interrupted(core, protocol, request_handle, client, interruption).await,
             attempt = attempt => match attempt {
-                Some(link) => break link,
+                Some(connection) => break connection,
                 None => core.now() > until,
             },
             () = core.terminating.wait() => true,
         };
-        if over {
+        if give_up {
             core.metrics.count_answer(class, FinalAnswer::Failed);
             return send_and_close(core, client, &protocol.failure()).await;
         }
     };
-    seat.start_attempt();
+    request_handle.start_attempt();
     core.dispatch_event(Event::Resumed(request.clone(), backend.clone()));
-    seat.record_established();
-    let (standing, behind) = EstablishedConnection::from_attempt(client, link);
-    stand(core, protocol, seat, backend, request, standing, behind).await;
+    request_handle.record_established();
+    let (established, trailing) = EstablishedConnection::from_attempt(client, connection);
+    serve_established(core, protocol, request_handle, backend, request, established, trailing).await;
 }
 
-/// How a client ended its wait for an answer.
+/// An event on the client's connection that ends the wait for an answer.
 #[derive(Clone, Copy)]
-enum BreaksOff {
-    /// Its connection broke.
-    Broke,
-    /// It ended its sending, and may have closed; or it may wait for its answer all the same.
-    Ended,
-    /// It has to wait after its opening: one that goes on speaking is none that can be served.
-    Spoke,
+enum Interruption {
+    /// The connection broke.
+    ConnectionLost,
+    /// The client ended its sending. The client may have closed the connection, or may still wait for an
+    /// answer.
+    SendingEnded,
+    /// The client sent more bytes. A client has to wait after its request; the proxy cannot serve one that
+    /// does not.
+    UnexpectedData,
 }
 
-/// Waits until the client no longer does.
-async fn breaks_off(client: &TcpStream) -> BreaksOff {
+/// Waits until an event on the client's connection ends the wait for an answer.
+async fn wait_for_interruption(client: &TcpStream) -> Interruption {
     match read_more(client, &mut Vec::new()).await {
-        Ok(0) => BreaksOff::Ended,
-        Ok(_) => BreaksOff::Spoke,
-        Err(_) => BreaksOff::Broke,
+        Ok(0) => Interruption::SendingEnded,
+        Ok(_) => Interruption::UnexpectedData,
+        Err(_) => Interruption::ConnectionLost,
     }
 }
 
-/// Whether the client waits no longer, as far as that is to be seen now.
-fn broken_off(client: &TcpStream) -> Option<BreaksOff> {
+/// Checks, without waiting, for an event on the client's connection that ends the wait for an answer.
+fn interruption_now(client: &TcpStream) -> Option<Interruption> {
     match client.try_read(&mut [0; MAX_LINE_BYTES]) {
-        Ok(0) => Some(BreaksOff::Ended),
-        Ok(_) => Some(BreaksOff::Spoke),
+        Ok(0) => Some(Interruption::SendingEnded),
+        Ok(_) => Some(Interruption::UnexpectedData),
         Err(e) if e.kind() == io::ErrorKind::WouldBlock => None,
-        Err(_) => Some(BreaksOff::Broke),
+        Err(_) => Some(Interruption::ConnectionLost),
     }
 }
 
-/// Ends a job whose client did not wait; the attempt is closed by now. Unless its connection broke it is answered:
-/// whether one that ended its sending has gone cannot be told, and an answer to one that has harms nobody.
-async fn dismiss(
+/// Ends a request whose client did not wait for the answer. Its attempt, if any, is closed by now. Unless the
+/// connection broke, the client is sent a failure: the proxy cannot tell whether a client that ended its
+/// sending has gone, and an answer to a client that has gone does no harm.
+async fn end_interrupted(
     core: &Rc<Core>,
     protocol: &dyn Protocol,
-    seat: RequestHandle,
+    request_handle: RequestHandle,
     client: TcpStream,
-    how: BreaksOff,
+    interruption: Interruption,
 ) {
-    let _owed = core.shutdown_guard();
-    let class = seat.class();
-    // The module is told that the client is gone, as for it this one is either way.
-    drop(seat);
-    match how {
-        BreaksOff::Broke => {}
-        BreaksOff::Ended | BreaksOff::Spoke => {
+    let _guard = core.shutdown_guard();
+    let class = request_handle.class();
+    // Reports to the decision module that the client is gone, which holds for the module in either case.
+    drop(request_handle);
+    match interruption {
+        Interruption::ConnectionLost => {}
+        Interruption::SendingEnded | Interruption::UnexpectedData => {
             core.metrics.count_answer(class, FinalAnswer::Failed);
             send_and_close(core, client, &protocol.failure()).await;
         }
