--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -1,4 +1,4 @@
-//! An attempt: one try of a job at a backend.
+//! One attempt of a request at a backend.
 
 use crate::core::Core;
 use crate::protocol::{Protocol, Reply};
@@ -8,46 +8,48 @@
 use pierloom_host::retry::is_local_error;
 use std::net::SocketAddr;
 
-/// How far an attempt came before it ended.
+/// The stage that an attempt had reached when it ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptStage {
-    /// No connection.
+    /// The connection to the backend was not made.
     NotConnected,
-    /// Connected, and the last byte is not written.
+    /// The connection was made, and the last byte of the request was not written.
     Connected,
-    /// All is written, and no answer has come.
+    /// The whole request was written. The backend had not accepted it.
     RequestSent,
-    /// Up, then over.
+    /// The backend had accepted the request, and the connection was established.
     Established,
 }
 
 /// Why an attempt ended.
 #[derive(Debug)]
 pub enum EndReason {
-    /// Nothing came in the time there was.
+    /// The time limit was reached before the connection was made or the backend answered.
     TimedOut,
     /// The connection ended or broke.
     ConnectionLost,
-    /// The client left, or was sent away.
+    /// The client left or was moved, or the process is about to exit.
     ClientGone,
-    /// This machine could not make the connection, which tells nothing of the backend.
+    /// The proxy's own machine could not make the connection, which says nothing about the backend.
     LocalError,
-    /// When it could have been written, it was not to be any more.
+    /// The attempt was no longer permitted when its request could have been written.
     NotPermitted,
-    /// The backend said so.
+    /// The backend sent this reply instead of accepting the request, or before the connection ended.
     Replied(Reply),
 }
 
-/// The end of an attempt: how far it came, and why it ended.
+/// The end of an attempt: its stage, and the reason.
 #[derive(Debug)]
 pub struct AttemptEnd {
+    /// The stage that the attempt had reached.
     pub stage: AttemptStage,
+    /// Why the attempt ended.
     pub reason: EndReason,
 }
 
 impl AttemptEnd {
-    /// What the module is told of it. It never ran only if its last byte was not written, or if the execute
-    /// node says so.
+    /// The status that the decision module receives. The request is known not to have run only if its last
+    /// byte was not written, or if the backend says so.
     pub fn status(&self) -> Status {
         match (self.stage, &self.reason) {
             (_, EndReason::Replied(Reply::Busy)) => Status::Overloaded,
@@ -66,43 +68,48 @@
     }
 }
 
-/// A connection that is up: all that the backend sent so far, its answer first.
+/// The backend's side of an established connection.
 pub struct BackendConnection {
+    /// The connection to the backend.
     pub stream: TcpStream,
+    /// All bytes that the backend has sent so far, starting with its answer.
     pub received: Vec<u8>,
 }
 
-/// Connects, writes the whole of `opening` and reads the answer; nothing stays open where it fails. It is counted by
-/// its job's class once it is written. `opening` is asked for once the connection is up, and nothing lies between it and
-/// the first byte: it says none where the backend, the client or the time no longer allow one.
+/// Connects to the backend, writes the request and reads the answer. On failure the connection is closed. The
+/// attempt is counted for the request's class once the request is written. `encode_request` is called once
+/// the proxy is connected, with no wait between that call and the first write. It returns `None` where the
+/// backend, the client or the time no longer allow the attempt.
 pub async fn run(
     core: &Core,
     protocol: &dyn Protocol,
     backend: Option<SocketAddr>,
-    opening: impl FnOnce() -> Option<Vec<u8>>,
+    encode_request: impl FnOnce() -> Option<Vec<u8>>,
     until: Micros,
     class: usize,
 ) -> Result<BackendConnection, AttemptEnd> {
     let connect_until = until.min(core.now() + core.settings().connect_timeout);
-    let ending = |stage, reason| AttemptEnd { stage, reason };
-    // A machine without an address cannot be connected to.
-    let backend = backend.ok_or_else(|| ending(AttemptStage::NotConnected, EndReason::ConnectionLost))?;
+    let attempt_end = |stage, reason| AttemptEnd { stage, reason };
+    // The proxy cannot connect to a backend without a known address.
+    let backend =
+        backend.ok_or_else(|| attempt_end(AttemptStage::NotConnected, EndReason::ConnectionLost))?;
     let stream = tokio::select! {
         biased;
         stream = core.host.connect(backend) => {
             let reason =
                 |e| if is_local_error(&e) { EndReason::LocalError } else { EndReason::ConnectionLost };
-            stream.map_err(|e| ending(AttemptStage::NotConnected, reason(e)))?
+            stream.map_err(|e| attempt_end(AttemptStage::NotConnected, reason(e)))?
         }
         () = core.deadlines.until(connect_until) =>
-            return Err(ending(AttemptStage::NotConnected, EndReason::TimedOut)),
-        () = core.terminating.wait() => return Err(ending(AttemptStage::NotConnected, EndReason::ClientGone)),
+            return Err(attempt_end(AttemptStage::NotConnected, EndReason::TimedOut)),
+        () = core.terminating.wait() =>
+            return Err(attempt_end(AttemptStage::NotConnected, EndReason::ClientGone)),
     };
     let mut stage = AttemptStage::Connected;
     let answer = async {
         stream.set_nodelay();
-        let opening = opening().ok_or(EndReason::NotPermitted)?;
-        write_all(&stream, &opening).await.map_err(|_| EndReason::ConnectionLost)?;
+        let request = encode_request().ok_or(EndReason::NotPermitted)?;
+        write_all(&stream, &request).await.map_err(|_| EndReason::ConnectionLost)?;
         stage = AttemptStage::RequestSent;
         core.metrics.count_attempt(class);
         read_line(&stream, Vec::new()).await.map_err(|_| EndReason::ConnectionLost)
@@ -113,9 +120,9 @@
         () = core.deadlines.until(until) => Err(EndReason::TimedOut),
         () = core.terminating.wait() => Err(EndReason::ClientGone),
     };
-    let received = answer.map_err(|reason| ending(stage, reason))?;
+    let received = answer.map_err(|reason| attempt_end(stage, reason))?;
     match protocol.parse_backend_line(first_line(&received)) {
         Reply::Up => Ok(BackendConnection { stream, received }),
-        said => Err(ending(stage, EndReason::Replied(said))),
+        reply => Err(attempt_end(stage, EndReason::Replied(reply))),
     }
 }
