--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -1,4 +1,5 @@
-//! The relay of lines between a client and a backend, once an attempt is up, and polite endings.
+//! Relays bytes between a client and a backend once an attempt's connection is established, and moves
+//! clients: the client is asked to reconnect elsewhere before its connection is closed.
 
 use crate::attempt::{AttemptEnd, AttemptStage, BackendConnection, EndReason};
 use crate::core::{Core, RequestCommand, RequestHandle};
@@ -11,40 +12,43 @@
 use std::io;
 use std::rc::Rc;
 
-/// A message without its answer is reported this often; microseconds.
-const SILENT_STEP: Micros = 1_000_000;
-/// A backend that stops within a line gets this long to finish it before a move; microseconds.
-const HALF_LINE: Micros = 2_000_000;
-/// As much of a line as tells what it says; bytes.
-const HEAD: usize = 64;
-/// Messages on the way whose times are kept: two seconds lie between them.
-const WAITING: usize = 64;
+/// Interval between the reports of an unanswered message.
+const UNANSWERED_REPORT_INTERVAL_US: Micros = 1_000_000;
+/// Before a move, a backend that has sent a part of a line gets this long to finish that line.
+const LINE_COMPLETION_TIMEOUT_US: Micros = 2_000_000;
+/// Number of bytes kept of each line, enough to recognise the message.
+const LINE_PREFIX_BYTES: usize = 64;
+/// Largest number of unanswered messages whose times are kept. A client sends its messages two seconds apart.
+const MAX_UNANSWERED_MESSAGES: usize = 64;
 
-/// One direction: a bounded buffer between two sockets.
+/// One direction of a relay: a bounded buffer between two sockets.
 #[derive(Default, Deserialize, Serialize)]
 struct Pipe {
+    /// Bytes read and not written yet.
     buffer: Vec<u8>,
+    /// Whether the source has ended its sending.
     ended: bool,
+    /// Whether the end was passed on to the destination.
     passed_end: bool,
 }
 
 impl Pipe {
-    /// Reads once if there is room; the part that came.
+    /// Reads once if the buffer is empty, and returns the number of bytes read.
     fn read(&mut self, from: &TcpStream) -> io::Result<usize> {
         if self.ended || !self.buffer.is_empty() {
             return Ok(0);
         }
-        let mut part = [0; MAX_LINE_BYTES];
-        match from.try_read(&mut part) {
+        let mut chunk = [0; MAX_LINE_BYTES];
+        match from.try_read(&mut chunk) {
             Ok(0) => self.ended = true,
-            Ok(read) => self.buffer.extend_from_slice(&part[..read]),
+            Ok(read) => self.buffer.extend_from_slice(&chunk[..read]),
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
             Err(e) => return Err(e),
         }
         Ok(self.buffer.len())
     }
 
-    /// Writes what there is, and passes the end on after it.
+    /// Writes the buffered bytes as far as the socket takes them, then passes the end on.
     fn write(&mut self, to: &TcpStream) -> io::Result<()> {
         while !self.buffer.is_empty() {
             match to.try_write(&self.buffer) {
@@ -55,307 +59,345 @@
         }
         if self.ended && !self.passed_end {
             self.passed_end = true;
-            // The other side may be gone already, which its own direction tells.
+            // The destination may be gone already. Reading from it in the other direction detects that.
             let _ = to.finish();
         }
         Ok(())
     }
 }
 
-/// Splits what passes into lines, and keeps the beginning of each.
+/// Splits the relayed bytes into lines, and keeps the beginning of each line.
 #[derive(Default, Deserialize, Serialize)]
 struct LineSplitter {
-    head: Vec<u8>,
-    within: bool,
+    /// The beginning of the current line.
+    #[serde(rename = "head")]
+    prefix: Vec<u8>,
+    /// Whether a part of the current line has passed.
+    #[serde(rename = "within")]
+    in_line: bool,
 }
 
 impl LineSplitter {
+    /// Calls `line` with the beginning of each line that ends within these bytes.
     fn feed(&mut self, bytes: &[u8], mut line: impl FnMut(&[u8])) {
         for &byte in bytes {
             if byte == b'\n' {
-                line(self.head.strip_suffix(b"\r").unwrap_or(&self.head));
-                self.head.clear();
-                self.within = false;
+                line(self.prefix.strip_suffix(b"\r").unwrap_or(&self.prefix));
+                self.prefix.clear();
+                self.in_line = false;
             } else {
-                self.within = true;
-                if self.head.len() < HEAD {
-                    self.head.push(byte);
+                self.in_line = true;
+                if self.prefix.len() < LINE_PREFIX_BYTES {
+                    self.prefix.push(byte);
                 }
             }
         }
     }
 }
 
-/// What is under way between a client and a backend: all that another process needs to go on.
+/// The state of a relay: all that another process needs to continue it.
 #[derive(Default, Deserialize, Serialize)]
 pub struct RelayState {
-    /// From the client to the backend, and back.
-    up: Pipe,
-    down: Pipe,
-    up_lines: LineSplitter,
-    down_lines: LineSplitter,
-    /// When each message went in that has no answer yet.
-    waiting: VecDeque<Micros>,
+    /// From the client to the backend.
+    #[serde(rename = "up")]
+    to_backend: Pipe,
+    /// From the backend to the client.
+    #[serde(rename = "down")]
+    to_client: Pipe,
+    /// The client's lines.
+    #[serde(rename = "up_lines")]
+    client_lines: LineSplitter,
+    /// The backend's lines.
+    #[serde(rename = "down_lines")]
+    backend_lines: LineSplitter,
+    /// When the proxy read each message of the client that has no answer yet.
+    #[serde(rename = "waiting")]
+    unanswered_since: VecDeque<Micros>,
 }
 
 impl RelayState {
-    /// The same by a clock that is so far before the one by which its times were written.
-    pub fn with_clock_offset(mut self, by: ClockOffset) -> Self {
-        self.waiting.iter_mut().for_each(|since| *since = with_clock_offset(*since, by));
+    /// Converts all times to another clock, which is ahead of the clock of these times by that offset.
+    pub fn with_clock_offset(mut self, offset: ClockOffset) -> Self {
+        self.unanswered_since.iter_mut().for_each(|since| *since = with_clock_offset(*since, offset));
         self
     }
 }
 
-/// A connection that is up: both its sides, and what is under way between them.
+/// An established connection between a client and a backend.
 pub struct EstablishedConnection {
+    /// The client's side.
     pub client: TcpStream,
+    /// The backend's side.
     pub backend: TcpStream,
+    /// The state of the relay between them.
     pub state: RelayState,
 }
 
-/// How a relay came to its end.
+/// The outcome of a relay.
 pub enum RelayOutcome {
+    /// The connection ended.
     Ended(AttemptEnd),
-    /// It is to go on in another process.
+    /// The connection is to be handed over to the successor process.
     Detached(EstablishedConnection),
 }
 
-/// A connection that is up, between a client and a backend.
+/// A running relay between a client and a backend.
 struct Relay<'a> {
     core: &'a Core,
     protocol: &'a dyn Protocol,
-    seat: &'a mut RequestHandle,
+    request_handle: &'a mut RequestHandle,
     backend_id: &'a BackendId,
     state: RelayState,
-    next_silent: Micros,
-    /// The client does not take what it is sent, so that nothing more is read from the backend.
+    next_unanswered_report: Micros,
+    /// The client does not read what the proxy sends, so that the proxy reads nothing more from the backend.
     stalled: bool,
-    /// The last thing that the backend said of the end.
-    said: Option<Reply>,
-    /// When a move was first wanted.
-    move_wanted: Option<Micros>,
-    /// The last word to the client is in the buffer, or out.
-    farewell: bool,
-    /// It is to go on in another process, unless it ends.
-    parting: bool,
+    /// The backend's last reply that announces the end of the connection.
+    final_reply: Option<Reply>,
+    /// When a move was first requested.
+    move_requested_at: Option<Micros>,
+    /// The move message to the client is in the buffer, or sent.
+    move_message_queued: bool,
+    /// The connection is to be handed over to the successor process, unless it ends.
+    detach_requested: bool,
+    /// When either side ended its sending.
     ended_at: Option<Micros>,
 }
 
 impl Relay<'_> {
-    /// Books the lines that passed from the client.
-    fn went_up(&mut self) {
-        let (now, waiting) = (self.core.now(), &mut self.state.waiting);
-        self.state.up_lines.feed(&self.state.up.buffer, |_| {
-            if waiting.is_empty() {
-                self.next_silent = now + SILENT_STEP;
+    /// Records the times of the client's messages in the bytes just read.
+    fn record_client_lines(&mut self) {
+        let (now, unanswered_since) = (self.core.now(), &mut self.state.unanswered_since);
+        self.state.client_lines.feed(&self.state.to_backend.buffer, |_| {
+            if unanswered_since.is_empty() {
+                self.next_unanswered_report = now + UNANSWERED_REPORT_INTERVAL_US;
             }
-            if waiting.len() < WAITING {
-                waiting.push_back(now);
+            if unanswered_since.len() < MAX_UNANSWERED_MESSAGES {
+                unanswered_since.push_back(now);
             }
         });
     }
 
-    /// Books the lines that passed from the backend.
-    fn went_down(&mut self) {
-        let (now, protocol, waiting, said) =
-            (self.core.now(), self.protocol, &mut self.state.waiting, &mut self.said);
+    /// Processes the backend's lines in the bytes just read: load reports, answers and the announced end.
+    fn record_backend_lines(&mut self) {
+        let (now, protocol, unanswered_since, final_reply) =
+            (self.core.now(), self.protocol, &mut self.state.unanswered_since, &mut self.final_reply);
         let (mut load, mut delay) = (None, None);
-        self.state.down_lines.feed(&self.state.down.buffer, |line| match protocol.parse_backend_line(line) {
-            Reply::Load(value) => load = Some(value),
-            reply @ (Reply::Bye | Reply::Move) => *said = Some(reply),
-            _ => {
-                if let Some(since) = waiting.pop_front() {
-                    delay = Some(now.saturating_sub(since));
-                    self.next_silent = waiting.front().map_or(Micros::MAX, |at| (at + SILENT_STEP).max(now));
+        self.state.backend_lines.feed(&self.state.to_client.buffer, |line| {
+            match protocol.parse_backend_line(line) {
+                Reply::Load(value) => load = Some(value),
+                reply @ (Reply::Bye | Reply::Move) => *final_reply = Some(reply),
+                _ => {
+                    if let Some(since) = unanswered_since.pop_front() {
+                        delay = Some(now.saturating_sub(since));
+                        self.next_unanswered_report = unanswered_since
+                            .front()
+                            .map_or(Micros::MAX, |at| (at + UNANSWERED_REPORT_INTERVAL_US).max(now));
+                    }
                 }
             }
         });
         if let Some(load) = load {
-            self.core.dispatch_event(Event::Measured(self.seat.id, Measurement::Load(load)));
+            self.core.dispatch_event(Event::Measured(self.request_handle.id, Measurement::Load(load)));
         }
         if let Some(delay) = delay {
-            self.core.report_delay(self.seat.id, self.backend_id, delay);
+            self.core.report_delay(self.request_handle.id, self.backend_id, delay);
         }
     }
 
-    /// Reports a message that waits for its answer.
-    fn silent(&mut self) {
-        let Some(&since) = self.state.waiting.front() else { return };
+    /// Reports the oldest unanswered message to the decision module.
+    fn report_unanswered(&mut self) {
+        let Some(&since) = self.state.unanswered_since.front() else { return };
         let now = self.core.now();
-        self.next_silent = now + SILENT_STEP;
-        let silent_for = now.saturating_sub(since);
-        self.core.report_delay(self.seat.id, self.backend_id, silent_for);
-        self.core.dispatch_event(Event::Measured(self.seat.id, Measurement::Unanswered(silent_for)));
+        self.next_unanswered_report = now + UNANSWERED_REPORT_INTERVAL_US;
+        let unanswered_for = now.saturating_sub(since);
+        self.core.report_delay(self.request_handle.id, self.backend_id, unanswered_for);
+        self.core
+            .dispatch_event(Event::Measured(self.request_handle.id, Measurement::Unanswered(unanswered_for)));
     }
 
-    /// When the relay has to look again though nothing comes.
-    fn look_at(&self) -> Micros {
-        let silent =
-            if self.state.waiting.is_empty() || self.stalled { Micros::MAX } else { self.next_silent };
-        let ending = self.ended_at.map_or(Micros::MAX, |at| at + HALF_CLOSE_TIMEOUT_US);
-        // An ending needs no move: a deadline of one that has passed would be looked at again and again.
-        let moving = self.move_wanted.filter(|_| self.ended_at.is_none());
-        let half_line = moving.filter(|_| !self.stalled).map_or(Micros::MAX, |at| at + HALF_LINE);
-        silent.min(ending).min(half_line)
+    /// The time of the relay's next check if neither socket becomes ready and no command arrives.
+    fn next_check(&self) -> Micros {
+        let unanswered_report = if self.state.unanswered_since.is_empty() || self.stalled {
+            Micros::MAX
+        } else {
+            self.next_unanswered_report
+        };
+        let half_close = self.ended_at.map_or(Micros::MAX, |at| at + HALF_CLOSE_TIMEOUT_US);
+        // A connection that is ending needs no move. The passed deadline of a move would make the relay check
+        // again without a pause.
+        let requested_at = self.move_requested_at.filter(|_| self.ended_at.is_none());
+        let line_completion =
+            requested_at.filter(|_| !self.stalled).map_or(Micros::MAX, |at| at + LINE_COMPLETION_TIMEOUT_US);
+        unanswered_report.min(half_close).min(line_completion)
     }
 
-    /// Passes on what is there, both ways; an error is a reset of that side.
-    fn pass(&mut self, client: &TcpStream, backend: &TcpStream) -> Result<(), Broke> {
-        // Down first: what a backend said before it closed is still there to read, and a write to it fails.
-        // After the last word nothing may follow.
-        if !self.farewell && self.state.down.read(backend).map_err(|_| Broke::Backend)? > 0 {
-            self.went_down();
+    /// Relays the available bytes in both directions. An error names the side that reset its connection.
+    fn transfer(&mut self, client: &TcpStream, backend: &TcpStream) -> Result<(), BrokenSide> {
+        // The backend is read first: the bytes that a backend sent before it closed can still be read,
+        // whereas a write to that backend fails. Nothing may follow the move message.
+        if !self.move_message_queued
+            && self.state.to_client.read(backend).map_err(|_| BrokenSide::Backend)? > 0
+        {
+            self.record_backend_lines();
         }
-        self.state.down.write(client).map_err(|_| Broke::Client)?;
-        self.note_stall();
-        if self.state.up.read(client).map_err(|_| Broke::Client)? > 0 {
-            self.went_up();
+        self.state.to_client.write(client).map_err(|_| BrokenSide::Client)?;
+        self.update_stalled();
+        if self.state.to_backend.read(client).map_err(|_| BrokenSide::Client)? > 0 {
+            self.record_client_lines();
         }
-        self.state.up.write(backend).map_err(|_| Broke::Backend)
+        self.state.to_backend.write(backend).map_err(|_| BrokenSide::Backend)
     }
 
-    /// Guards against blaming a backend for a client that does not read: what the node says lies unread
-    /// meanwhile, and its time to answer begins anew after that.
-    fn note_stall(&mut self) {
-        let stalled = !self.state.down.buffer.is_empty();
+    /// Updates `stalled`. Guards against blaming a backend for a client that does not read: the backend's
+    /// answers stay unread meanwhile, so that the backend's time to answer starts anew once the client reads
+    /// again.
+    fn update_stalled(&mut self) {
+        let stalled = !self.state.to_client.buffer.is_empty();
         if std::mem::replace(&mut self.stalled, stalled) && !stalled {
             let now = self.core.now();
-            self.state.waiting.iter_mut().for_each(|since| *since = now);
-            self.next_silent = now + SILENT_STEP;
-            self.move_wanted = self.move_wanted.map(|_| now);
+            self.state.unanswered_since.iter_mut().for_each(|since| *since = now);
+            self.next_unanswered_report = now + UNANSWERED_REPORT_INTERVAL_US;
+            self.move_requested_at = self.move_requested_at.map(|_| now);
         }
     }
 
-    /// Why the attempt ended, once one side has.
+    /// The reason for the end of the attempt, once one side has ended.
     fn end_reason(&mut self) -> EndReason {
-        match self.said.take() {
-            Some(said) => EndReason::Replied(said),
-            None if self.state.up.ended => EndReason::ClientGone,
+        match self.final_reply.take() {
+            Some(reply) => EndReason::Replied(reply),
+            None if self.state.to_backend.ended => EndReason::ClientGone,
             None => EndReason::ConnectionLost,
         }
     }
 }
 
-/// Which side broke its connection.
-enum Broke {
+/// The side whose connection broke.
+enum BrokenSide {
     Client,
     Backend,
 }
 
 impl EstablishedConnection {
-    /// One that has just come up. The answer that brought it up is no answer to a message; what came behind it may be.
-    pub fn from_attempt(client: TcpStream, link: BackendConnection) -> (Self, Vec<u8>) {
-        let BackendConnection { stream: backend, mut received } = link;
-        let after = received.iter().position(|&byte| byte == b'\n').map_or(received.len(), |at| at + 1);
-        let behind = received.split_off(after);
+    /// The connection of an attempt that has just been established, and the bytes after the backend's first
+    /// answer. That answer establishes the connection and answers no message; the bytes after it may do so.
+    pub fn from_attempt(client: TcpStream, connection: BackendConnection) -> (Self, Vec<u8>) {
+        let BackendConnection { stream: backend, mut received } = connection;
+        let answer_end = received.iter().position(|&byte| byte == b'\n').map_or(received.len(), |at| at + 1);
+        let trailing = received.split_off(answer_end);
         let state =
-            RelayState { down: Pipe { buffer: received, ..Pipe::default() }, ..RelayState::default() };
-        (EstablishedConnection { client, backend, state }, behind)
+            RelayState { to_client: Pipe { buffer: received, ..Pipe::default() }, ..RelayState::default() };
+        (EstablishedConnection { client, backend, state }, trailing)
     }
 }
 
-/// Passes bytes both ways at once and unchanged until the connection ends, or is to go on elsewhere. What came
-/// `behind` the answer that brought it up is read along first.
+/// Relays bytes in both directions, immediately and unchanged, until the connection ends or is to be handed
+/// over. First reads the lines in `trailing`, the bytes after the answer that established the connection.
 pub async fn run(
     core: &Rc<Core>,
     protocol: &dyn Protocol,
-    seat: &mut RequestHandle,
+    request_handle: &mut RequestHandle,
     backend_id: &BackendId,
-    standing: EstablishedConnection,
-    behind: Vec<u8>,
+    established: EstablishedConnection,
+    trailing: Vec<u8>,
 ) -> RelayOutcome {
-    let ending = |reason| RelayOutcome::Ended(AttemptEnd { stage: AttemptStage::Established, reason });
-    let EstablishedConnection { client, backend, state } = standing;
-    let next_silent = state.waiting.front().map_or(Micros::MAX, |at| (at + SILENT_STEP).max(core.now()));
+    let end_with = |reason| RelayOutcome::Ended(AttemptEnd { stage: AttemptStage::Established, reason });
+    let EstablishedConnection { client, backend, state } = established;
+    let next_unanswered_report = state
+        .unanswered_since
+        .front()
+        .map_or(Micros::MAX, |at| (at + UNANSWERED_REPORT_INTERVAL_US).max(core.now()));
     let mut relay = Relay {
         core,
         protocol,
-        seat,
+        request_handle,
         backend_id,
-        stalled: !state.down.buffer.is_empty(),
+        stalled: !state.to_client.buffer.is_empty(),
         state,
-        next_silent,
-        said: None,
-        move_wanted: None,
-        farewell: false,
-        parting: false,
+        next_unanswered_report,
+        final_reply: None,
+        move_requested_at: None,
+        move_message_queued: false,
+        detach_requested: false,
         ended_at: None,
     };
-    let answer_up = std::mem::replace(&mut relay.state.down.buffer, behind);
-    if !relay.state.down.buffer.is_empty() {
-        relay.went_down();
+    let first_answer = std::mem::replace(&mut relay.state.to_client.buffer, trailing);
+    if !relay.state.to_client.buffer.is_empty() {
+        relay.record_backend_lines();
     }
-    relay.state.down.buffer.splice(..0, answer_up);
+    relay.state.to_client.buffer.splice(..0, first_answer);
     loop {
-        match relay.pass(&client, &backend) {
+        match relay.transfer(&client, &backend) {
             Ok(()) => {}
-            Err(Broke::Client) => {
+            Err(BrokenSide::Client) => {
                 backend.reset_on_close();
-                return ending(EndReason::ClientGone);
+                return end_with(EndReason::ClientGone);
             }
-            Err(Broke::Backend) => {
-                // What it said before belongs to the client; then the reset is passed on.
-                let _ = relay.state.down.write(&client);
+            Err(BrokenSide::Backend) => {
+                // The client gets the bytes that the backend sent before, then the reset.
+                let _ = relay.state.to_client.write(&client);
                 client.reset_on_close();
-                return ending(relay.end_reason());
+                return end_with(relay.end_reason());
             }
         }
         let now = core.now();
-        if relay.state.up.passed_end && relay.state.down.passed_end {
-            return ending(relay.end_reason());
+        if relay.state.to_backend.passed_end && relay.state.to_client.passed_end {
+            return end_with(relay.end_reason());
         }
-        if relay.ended_at.is_none() && (relay.state.up.ended || relay.state.down.ended) {
+        if relay.ended_at.is_none() && (relay.state.to_backend.ended || relay.state.to_client.ended) {
             relay.ended_at = Some(now);
         }
         if relay.ended_at.is_some_and(|at| now >= at + HALF_CLOSE_TIMEOUT_US) {
-            return ending(relay.end_reason());
+            return end_with(relay.end_reason());
         }
-        if std::mem::take(&mut relay.parting)
+        if std::mem::take(&mut relay.detach_requested)
             && relay.ended_at.is_none()
-            && relay.move_wanted.is_none()
-            && relay.said.is_none()
+            && relay.move_requested_at.is_none()
+            && relay.final_reply.is_none()
         {
             return RelayOutcome::Detached(EstablishedConnection { state: relay.state, client, backend });
         }
-        if let Some(wanted) = relay.move_wanted.filter(|_| relay.ended_at.is_none()) {
-            let between = relay.state.down.buffer.is_empty() && !relay.state.down_lines.within;
-            if between && !relay.farewell {
-                // The backend is let go only when the word is out: a client that reads late gets it late.
-                relay.farewell = true;
-                relay.state.down.buffer.extend_from_slice(protocol.farewell());
+        if let Some(requested_at) = relay.move_requested_at.filter(|_| relay.ended_at.is_none()) {
+            let between_lines = relay.state.to_client.buffer.is_empty() && !relay.state.backend_lines.in_line;
+            if between_lines && !relay.move_message_queued {
+                // The backend's connection is closed only once the move message is written: a client that
+                // reads late gets the message late.
+                relay.move_message_queued = true;
+                relay.state.to_client.buffer.extend_from_slice(protocol.farewell());
                 continue;
             }
-            if relay.farewell && relay.state.down.buffer.is_empty()
-                || !relay.farewell && !relay.stalled && now >= wanted + HALF_LINE
+            if relay.move_message_queued && relay.state.to_client.buffer.is_empty()
+                || !relay.move_message_queued
+                    && !relay.stalled
+                    && now >= requested_at + LINE_COMPLETION_TIMEOUT_US
             {
                 drop(backend);
-                relay.seat.end_attempt(Status::Cancelled);
+                relay.request_handle.end_attempt(Status::Cancelled);
                 send_and_close(core, client, b"").await;
-                return ending(EndReason::ClientGone);
+                return end_with(EndReason::ClientGone);
             }
         }
-        if now >= relay.look_at() {
-            relay.silent();
+        if now >= relay.next_check() {
+            relay.report_unanswered();
         }
-        let at_client = Interest {
-            read: !relay.state.up.ended && relay.state.up.buffer.is_empty(),
-            write: !relay.state.down.buffer.is_empty(),
+        let client_interest = Interest {
+            read: !relay.state.to_backend.ended && relay.state.to_backend.buffer.is_empty(),
+            write: !relay.state.to_client.buffer.is_empty(),
         };
-        let at_backend = Interest {
-            read: !relay.state.down.ended && relay.state.down.buffer.is_empty(),
-            write: !relay.state.up.buffer.is_empty(),
+        let backend_interest = Interest {
+            read: !relay.state.to_client.ended && relay.state.to_client.buffer.is_empty(),
+            write: !relay.state.to_backend.buffer.is_empty(),
         };
-        let look_at = relay.look_at();
+        let next_check = relay.next_check();
         tokio::select! {
             biased;
-            () = client.ready(at_client) => {}
-            () = backend.ready(at_backend) => {}
-            order = relay.seat.commands.recv() => match order {
-                Some(RequestCommand::Move) => drop(relay.move_wanted.get_or_insert(core.now())),
-                Some(RequestCommand::HandOver) => relay.parting = true,
+            () = client.ready(client_interest) => {}
+            () = backend.ready(backend_interest) => {}
+            command = relay.request_handle.commands.recv() => match command {
+                Some(RequestCommand::Move) => drop(relay.move_requested_at.get_or_insert(core.now())),
+                Some(RequestCommand::HandOver) => relay.detach_requested = true,
                 _ => {}
             },
-            () = core.deadlines.until(look_at) => {}
+            () = core.deadlines.until(next_check) => {}
         }
     }
 }
