--- a/crates/proxy/src/upgrade.rs
+++ b/crates/proxy/src/upgrade.rs
@@ -1,5 +1,6 @@
-//! A process beside this one: taking over from the one that runs, and handing over to the next. What staff withhold
-//! is kept here too, as it outlives the process. Nothing is decided here.
+//! Upgrades without downtime: taking over from a running process of the same proxy, and handing over to the
+//! next one. The module also persists which backends are in maintenance, since that outlives the process. It
+//! makes no placement decisions.
 
 use crate::core::{Core, PendingHandover};
 use crate::listener::Listener;
@@ -17,57 +18,71 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::sync::oneshot;
 
-/// The process that runs has this long to hand over; then this one starts beside it; microseconds.
-const ANSWER: Micros = 2_000_000;
-/// It has this long to stop accepting; then this one says yes all the same; microseconds.
-const RELEASE: Micros = 1_000_000;
-/// The next process has this long to start; then another may ask; microseconds.
-const START: Micros = 6_000_000;
-/// The number of jobs is told this often where it changes; microseconds.
-const STEP: Micros = 100_000;
-/// Pause before what is withheld is written down again, where that failed; microseconds.
-const WRITE_PAUSE: Micros = 1_000_000;
-/// Pause after an offer that failed; microseconds.
-const OFFER_PAUSE: Micros = 1_000_000;
+/// Time limit for the predecessor to send its state. After that this process starts without it, beside the
+/// predecessor.
+const TAKEOVER_TIMEOUT_US: Micros = 2_000_000;
+/// Time limit for the predecessor to stop accepting. After that this process reports itself as serving
+/// regardless.
+const ACCEPT_STOP_TIMEOUT_US: Micros = 1_000_000;
+/// Time limit for the successor to start serving. After that another process may ask for a handover.
+const SUCCESSOR_START_TIMEOUT_US: Micros = 6_000_000;
+/// Interval at which the predecessor sends its number of active requests, if that number has changed.
+const REQUEST_COUNT_INTERVAL_US: Micros = 100_000;
+/// Delay before the backends in maintenance are written to their file again after a failed write.
+const WRITE_RETRY_DELAY_US: Micros = 1_000_000;
+/// Delay before this process listens for a successor again after a failure.
+const LISTEN_RETRY_DELAY_US: Micros = 1_000_000;
 
-/// Told when the other holds a connection, or given it back.
-type Done = oneshot::Sender<Result<(), EstablishedConnection>>;
+/// Reports the outcome of a handover: `Ok` once the successor has adopted the connection, else the connection
+/// itself.
+type HandoverDone = oneshot::Sender<Result<(), EstablishedConnection>>;
 
-/// What two processes say to each other.
+/// A message between two processes of one proxy: the predecessor, which hands over, and the successor, which
+/// takes over.
+///
+/// The peer may run another version of this program, so the JSON tags and keys never change.
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum HandoverMessage {
-    /// What the new one starts with, beside the listening socket.
+    /// Predecessor to successor, first of all: the state that the successor starts from. The listening socket
+    /// goes with the message.
     State(State),
-    /// The new one serves.
+    /// Successor to predecessor: the successor has started. The predecessor stops accepting clients, answers
+    /// with `AcceptStopped` and hands over its connections from then on.
     #[serde(rename = "taken")]
     TakeoverStarted,
-    /// The old one accepts no more.
+    /// Predecessor to successor: the predecessor has stopped accepting clients. The successor then reports
+    /// itself as serving and listens for its own successor.
     #[serde(rename = "released")]
     AcceptStopped,
-    /// Staff withhold a backend, or (false) gave it back.
+    /// Either to the other: operators put the named backend into maintenance, or (false) returned it from
+    /// maintenance. The receiver applies the same change.
     #[serde(rename = "withheld")]
     Maintenance(String, bool),
-    /// The old one holds so many jobs.
+    /// Predecessor to successor: the number of requests that the predecessor still holds. The successor
+    /// counts them against its own limit.
     #[serde(rename = "jobs")]
     ActiveRequests(usize),
-    /// A connection that stands, with its sockets: the client's, then the backend's.
+    /// Predecessor to successor: an established connection. Its two sockets go with the message, the client's
+    /// first, then the backend's. The successor adopts the connection and answers with `ConnectionAccepted`.
     Connection(HandoverRecord, RelayState),
-    /// The new one holds the connection that came last, or (false) cannot.
+    /// Successor to predecessor: whether the successor has adopted the last `Connection`. On true the
+    /// predecessor closes its copies of the sockets; on false it goes on relaying.
     #[serde(rename = "holds")]
     ConnectionAccepted(bool),
 }
 
-/// What a process hands over.
+/// The state that a predecessor hands over to its successor.
 #[derive(Serialize, Deserialize)]
 struct State {
-    /// The time by the clock of the process that hands over, by which all its times are. Each process has a clock of its
-    /// own: that of the machine may have been set between their starts. None from a version that did not say.
+    /// The current time of the predecessor's clock, to which all times in this state refer. Each process has
+    /// a clock of its own, since the clock of the machine may have been set between their starts. `None` if
+    /// the predecessor is of a version that does not send it.
     #[serde(default)]
     clock: Option<Micros>,
     #[serde(rename = "withheld")]
     backends_in_maintenance: Vec<String>,
-    /// The machine list as it stands.
+    /// The endpoints as last reported by discovery.
     #[serde(rename = "list")]
     endpoints: Endpoints,
     #[serde(rename = "learned")]
@@ -76,125 +91,143 @@
     active_requests: usize,
 }
 
-/// What this process took over.
+/// What this process took over from its predecessor.
 pub struct Takeover {
+    /// The listening socket, shared with the predecessor.
     pub listener: TcpListener,
+    /// The endpoints that the predecessor knew.
     pub endpoints: Endpoints,
+    /// What the predecessor's decision module learned, by this process's clock.
     pub learned_state: LearnedState,
+    /// The number of requests that the predecessor still holds.
     pub active_requests: usize,
+    /// The connection to the predecessor.
     pub channel: HandoverChannel,
 }
 
-/// Where the process beside this one is met, and what staff withhold is kept.
+/// Paths in the folder that both processes share.
 struct HandoverPaths {
+    /// The Unix socket on which a process listens for its successor.
     socket: PathBuf,
-    withheld: PathBuf,
+    /// The JSON file that lists the backends in maintenance.
+    maintenance: PathBuf,
 }
 
+/// Hands over between processes of one proxy, and keeps track of the backends in maintenance.
 pub struct Upgrades {
     core: Rc<Core>,
-    /// None where there is no second address.
-    place: Option<HandoverPaths>,
+    /// `None` if the proxy has no console address.
+    paths: Option<HandoverPaths>,
     protocol: Rc<dyn Protocol>,
-    /// The processes beside this one: the one before, the one after.
+    /// Queues of messages to the peer processes: the predecessor and the successor.
     peers: RefCell<Vec<UnboundedSender<HandoverMessage>>>,
     serving: Cell<bool>,
-    /// How far this process's clock is before that of the process before.
+    /// This process's clock minus the predecessor's.
     clock_offset: Cell<ClockOffset>,
-    /// What is withheld is not written down yet, and a task tries on.
-    unwritten: Cell<bool>,
+    /// Whether the last write of the maintenance file failed, so that a task is retrying it.
+    persist_retrying: Cell<bool>,
 }
 
-/// What came of a call of staff's for a backend.
+/// The result of an operators' call that puts a backend into maintenance or returns it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MaintenanceResult {
-    /// In force, and written down.
+    /// The change is in force and written to the file.
     Persisted,
-    /// In force; not written down yet, so that a kill now would forget it.
+    /// The change is in force but not yet written to the file. If the process is killed now, the change is
+    /// lost.
     NotPersisted,
-    /// Nobody has that backend.
+    /// The backend is unknown: no endpoint list ever named it, and it is not in maintenance.
     UnknownBackend,
 }
 
-/// A file name made of the proxy's name.
+/// Makes a file name, without extension, from the proxy's name.
 fn file_name(name: &str) -> String {
-    let plain = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
-    format!("pierloom-{}", name.chars().map(plain).collect::<String>())
+    let to_safe_char = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
+    format!("pierloom-{}", name.chars().map(to_safe_char).collect::<String>())
 }
 
 impl Upgrades {
-    /// With a second address, in the folder that both processes share.
+    /// Creates the upgrade state of a process. Only a proxy with a console address uses the shared folder,
+    /// `TMPDIR`.
     pub fn new(core: Rc<Core>, protocol: Rc<dyn Protocol>, name: &str, console: bool) -> Rc<Self> {
         let folder = core.host.env_var("TMPDIR").filter(|_| console);
-        let place = folder.map(|folder| {
+        let paths = folder.map(|folder| {
             let base = PathBuf::from(folder).join(file_name(name));
-            HandoverPaths { socket: base.with_extension("sock"), withheld: base.with_extension("withheld") }
+            HandoverPaths {
+                socket: base.with_extension("sock"),
+                maintenance: base.with_extension("withheld"),
+            }
         });
         Rc::new(Upgrades {
             core,
-            place,
+            paths,
             protocol,
             peers: RefCell::default(),
             serving: Cell::new(false),
             clock_offset: Cell::new(0),
-            unwritten: Cell::new(false),
+            persist_retrying: Cell::new(false),
         })
     }
 
-    /// Whether this process can serve.
+    /// Whether this process reports itself as serving. It does so once its predecessor, if any, has stopped
+    /// accepting clients or the time limit for that has passed.
     pub fn serving(&self) -> bool {
         self.serving.get()
     }
 
-    /// Takes over from the process that runs, if there is one, and has withheld what staff withheld before.
+    /// Takes over from a running predecessor, if there is one, and restores the backends in maintenance.
     pub async fn take_over(&self) -> Option<Takeover> {
-        let place = self.place.as_ref()?;
+        let paths = self.paths.as_ref()?;
         let asked_at = self.core.now();
-        let asked = async {
-            let pass = self.core.host.connect_handover(&place.socket).await?;
-            let HandoverMessage::State(state) = read(pass.receive().await?)? else {
+        let request_state = async {
+            let channel = self.core.host.connect_handover(&paths.socket).await?;
+            let HandoverMessage::State(state) = parse_message(channel.receive().await?)? else {
                 return Err(io::ErrorKind::InvalidData.into());
             };
-            let listener = pass.receive_listener()?;
-            Ok((pass, listener, state))
+            let listener = channel.receive_listener()?;
+            Ok((channel, listener, state))
         };
         let answer: io::Result<(HandoverChannel, TcpListener, State)> = tokio::select! {
             biased;
-            answer = asked => answer,
-            () = self.core.deadlines.until(self.core.now() + ANSWER) => Err(io::ErrorKind::TimedOut.into()),
+            answer = request_state => answer,
+            () = self.core.deadlines.until(self.core.now() + TAKEOVER_TIMEOUT_US) => {
+                Err(io::ErrorKind::TimedOut.into())
+            }
         };
         match answer {
             Ok((
-                pass,
+                channel,
                 listener,
                 State { clock, backends_in_maintenance, endpoints, learned_state, active_requests },
             )) => {
-                // It was read after it was asked for: nothing counts as younger than it is.
+                // The predecessor reads its clock after this process asks, so the offset never makes a
+                // learned time look more recent than it is.
                 let offset = clock.map_or(0, |clock| asked_at as ClockOffset - clock as ClockOffset);
                 self.clock_offset.set(offset);
                 let learned_state = learned_state.with_clock_offset(offset);
                 tracing::info!(
                     target: "upgrade",
-                    "takes over from the process that runs, which holds {active_requests} jobs"
+                    "taking over from the running process, which holds {active_requests} requests"
                 );
-                backends_in_maintenance.iter().for_each(|backend| self.enter(backend, true));
-                Some(Takeover { listener, endpoints, learned_state, active_requests, channel: pass })
+                backends_in_maintenance.iter().for_each(|backend| self.report_maintenance(backend, true));
+                Some(Takeover { listener, endpoints, learned_state, active_requests, channel })
             }
             Err(e) => {
-                let nobody = [io::ErrorKind::NotFound, io::ErrorKind::ConnectionRefused].contains(&e.kind());
-                if !nobody {
-                    tracing::warn!(target: "upgrade", "starts without what the process that runs knows: {e}");
+                let no_predecessor =
+                    [io::ErrorKind::NotFound, io::ErrorKind::ConnectionRefused].contains(&e.kind());
+                if !no_predecessor {
+                    tracing::warn!(target: "upgrade", "starting without the predecessor's state: {e}");
                 }
-                self.read_withheld(place);
+                self.restore_maintenance(paths);
                 None
             }
         }
     }
 
-    /// What was withheld when a process of this name last wrote it down. Guards against a mark that is lost with a
-    /// process that was killed, or with a hand-over that was cut.
-    fn read_withheld(&self, place: &HandoverPaths) {
-        let backends = match self.core.host.read_file(&place.withheld) {
+    /// Restores the backends in maintenance from the file that a process of this proxy wrote last. A process
+    /// that was killed, or a handover that was interrupted, does not lose them.
+    fn restore_maintenance(&self, paths: &HandoverPaths) {
+        let backends = match self.core.host.read_file(&paths.maintenance) {
             Ok(mut bytes) => {
                 simd_json::serde::from_slice::<Vec<String>>(&mut bytes).map_err(|e| e.to_string())
             }
@@ -202,137 +235,147 @@
             Err(e) => Err(e.to_string()),
         };
         match backends {
-            Ok(backends) => backends.iter().for_each(|backend| self.enter(backend, true)),
+            Ok(backends) => backends.iter().for_each(|backend| self.report_maintenance(backend, true)),
             Err(e) => {
-                tracing::warn!(target: "upgrade", "{}: nothing is withheld: {e}", place.withheld.display())
+                tracing::warn!(
+                    target: "upgrade",
+                    "{}: no backend is put into maintenance: {e}",
+                    paths.maintenance.display()
+                )
             }
         }
     }
 
-    fn enter(&self, backend: &str, withheld: bool) {
-        self.core.dispatch_event(Event::Maintenance(BackendId::from(backend), withheld));
+    /// Reports a maintenance change to the decision module.
+    fn report_maintenance(&self, backend: &str, in_maintenance: bool) {
+        self.core.dispatch_event(Event::Maintenance(BackendId::from(backend), in_maintenance));
     }
 
-    /// Has a backend withheld, or gives it back. It is in force, told to the process beside this one and written down
-    /// before the yes.
-    pub fn set_maintenance(self: &Rc<Self>, backend: &str, withheld: bool) -> MaintenanceResult {
+    /// Puts a backend into maintenance, or returns it from maintenance. Before the method returns
+    /// `Persisted`, the change is in force, queued for the peer processes and written to the file.
+    pub fn set_maintenance(self: &Rc<Self>, backend: &str, in_maintenance: bool) -> MaintenanceResult {
         if !self.core.knows_backend(backend) {
             return MaintenanceResult::UnknownBackend;
         }
-        self.enter(backend, withheld);
-        self.peers
-            .borrow_mut()
-            .retain(|one| one.send(HandoverMessage::Maintenance(backend.to_string(), withheld)).is_ok());
-        if self.write_withheld() {
+        self.report_maintenance(backend, in_maintenance);
+        self.peers.borrow_mut().retain(|peer| {
+            peer.send(HandoverMessage::Maintenance(backend.to_string(), in_maintenance)).is_ok()
+        });
+        if self.persist_maintenance() {
             return MaintenanceResult::Persisted;
         }
-        if !self.unwritten.replace(true) {
-            self.core.host.spawn(self.clone().write_until_written());
+        if !self.persist_retrying.replace(true) {
+            self.core.host.spawn(self.clone().retry_persist_maintenance());
         }
         MaintenanceResult::NotPersisted
     }
 
-    /// Writes down what is withheld, where a next process may look for it; false where that fails.
-    fn write_withheld(&self) -> bool {
-        let Some(place) = &self.place else { return true };
+    /// Writes the backends in maintenance to the file that a later process reads. Returns false on failure.
+    fn persist_maintenance(&self) -> bool {
+        let Some(paths) = &self.paths else { return true };
         let backends = serde_json::to_vec(&self.core.backends_in_maintenance()).unwrap_or_default();
-        let written = self.core.host.write_file(&place.withheld, &backends);
+        let written = self.core.host.write_file(&paths.maintenance, &backends);
         if let Err(e) = &written {
-            tracing::warn!(target: "upgrade", "{}: {e}", place.withheld.display());
+            tracing::warn!(target: "upgrade", "{}: {e}", paths.maintenance.display());
         }
         written.is_ok()
     }
 
-    /// Goes on trying: what is in force is written down as soon as the folder takes it.
-    async fn write_until_written(self: Rc<Self>) {
+    /// Retries the write of the maintenance file until it succeeds.
+    async fn retry_persist_maintenance(self: Rc<Self>) {
         loop {
-            self.core.deadlines.until(self.core.now() + WRITE_PAUSE).await;
-            if self.write_withheld() {
-                return self.unwritten.set(false);
+            self.core.deadlines.until(self.core.now() + WRITE_RETRY_DELAY_US).await;
+            if self.persist_maintenance() {
+                return self.persist_retrying.set(false);
             }
         }
     }
 
-    /// What this process has to tell another one from now on.
-    fn tells(&self) -> UnboundedReceiver<HandoverMessage> {
-        let (sender, words) = unbounded_channel();
+    /// Registers a peer process. Returns the queue of messages that this process has for it from now on.
+    fn register_peer(&self) -> UnboundedReceiver<HandoverMessage> {
+        let (sender, messages) = unbounded_channel();
         self.peers.borrow_mut().push(sender);
-        words
+        messages
     }
 
-    /// Serves from here on: accepts alone once the one before does no more, and offers to hand over in its turn.
+    /// Waits until the predecessor, if any, has stopped accepting, then reports this process as serving and
+    /// listens for a successor.
     pub async fn serve(
         self: Rc<Self>,
         listener: Rc<Listener>,
-        list: Rc<RefCell<Endpoints>>,
-        before: Option<(HandoverChannel, usize)>,
+        endpoints: Rc<RefCell<Endpoints>>,
+        predecessor: Option<(HandoverChannel, usize)>,
     ) {
-        if let Some((pass, active_requests)) = before {
+        if let Some((channel, active_requests)) = predecessor {
             listener.set_predecessor_requests(active_requests);
-            let (upgrades, beside) = (self.clone(), listener.clone());
-            let released = Rc::new(tokio::sync::Notify::new());
-            let rung = released.clone();
+            let (upgrades, task_listener) = (self.clone(), listener.clone());
+            let accept_stopped = Rc::new(tokio::sync::Notify::new());
+            let task_accept_stopped = accept_stopped.clone();
             self.core.host.spawn(async move {
-                let end = upgrades.follow_predecessor(&pass, &beside, &rung).await;
-                tracing::info!(target: "upgrade", "the process before has ended ({})", end.kind());
-                beside.set_predecessor_requests(0);
-                // One that has ended accepts no more.
-                rung.notify_one();
+                let error = upgrades.follow_predecessor(&channel, &task_listener, &task_accept_stopped).await;
+                tracing::info!(target: "upgrade", "the predecessor has ended ({})", error.kind());
+                task_listener.set_predecessor_requests(0);
+                // A predecessor that has ended accepts no more clients.
+                task_accept_stopped.notify_one();
             });
             tokio::select! {
                 biased;
-                () = released.notified() => {}
-                () = self.core.deadlines.until(self.core.now() + RELEASE) => {}
+                () = accept_stopped.notified() => {}
+                () = self.core.deadlines.until(self.core.now() + ACCEPT_STOP_TIMEOUT_US) => {}
             }
         }
         self.serving.set(true);
-        let Some(place) = &self.place else { return };
+        let Some(paths) = &self.paths else { return };
         loop {
-            let met = match self.core.host.listen_handover(&place.socket) {
-                Ok(offers) => offers.accept().await,
+            let accepted = match self.core.host.listen_handover(&paths.socket) {
+                Ok(handover_listener) => handover_listener.accept().await,
                 Err(e) => Err(e),
             };
-            match met {
-                Ok(pass) => self.serve_successor(&pass, &listener, &list).await,
+            match accepted {
+                Ok(channel) => self.serve_successor(&channel, &listener, &endpoints).await,
                 Err(e) => {
-                    tracing::warn!(target: "upgrade", "{}: {e}", place.socket.display());
-                    self.core.deadlines.until(self.core.now() + OFFER_PAUSE).await;
+                    tracing::warn!(target: "upgrade", "{}: {e}", paths.socket.display());
+                    self.core.deadlines.until(self.core.now() + LISTEN_RETRY_DELAY_US).await;
                 }
             }
         }
     }
 
-    /// The new process's side, until the old one has ended; how it ended.
+    /// Runs the successor's side of a handover until the predecessor has ended. Returns the final error.
     async fn follow_predecessor(
         &self,
-        pass: &HandoverChannel,
+        channel: &HandoverChannel,
         listener: &Listener,
-        released: &tokio::sync::Notify,
+        accept_stopped: &tokio::sync::Notify,
     ) -> io::Error {
-        let mut tells = self.tells();
-        if let Err(e) = send_message(pass, &HandoverMessage::TakeoverStarted).await {
+        let mut outgoing = self.register_peer();
+        if let Err(e) = send_message(channel, &HandoverMessage::TakeoverStarted).await {
             return e;
         }
         loop {
-            let heard = tokio::select! {
+            let received = tokio::select! {
                 biased;
-                heard = pass.receive() => heard.and_then(read),
-                Some(word) = tells.recv() => match send_message(pass, &word).await {
+                received = channel.receive() => received.and_then(parse_message),
+                Some(message) = outgoing.recv() => match send_message(channel, &message).await {
                     Ok(()) => continue,
                     Err(e) => return e,
                 },
             };
-            match heard {
-                Ok(HandoverMessage::AcceptStopped) => released.notify_one(),
-                Ok(HandoverMessage::Maintenance(backend, withheld)) => self.enter(&backend, withheld),
+            match received {
+                Ok(HandoverMessage::AcceptStopped) => accept_stopped.notify_one(),
+                Ok(HandoverMessage::Maintenance(backend, in_maintenance)) => {
+                    self.report_maintenance(&backend, in_maintenance)
+                }
                 Ok(HandoverMessage::ActiveRequests(active_requests)) => {
                     listener.set_predecessor_requests(active_requests)
                 }
                 Ok(HandoverMessage::Connection(connection, relay_state)) => {
-                    let holds = self.adopt(pass, connection, relay_state);
-                    // It is none of the old one's any more, and counts here.
-                    listener.release_predecessor_request(holds);
-                    if let Err(e) = send_message(pass, &HandoverMessage::ConnectionAccepted(holds)).await {
+                    let adopted = self.adopt(channel, connection, relay_state);
+                    // An adopted connection counts among this process's requests, no longer among the
+                    // predecessor's.
+                    listener.release_predecessor_request(adopted);
+                    if let Err(e) = send_message(channel, &HandoverMessage::ConnectionAccepted(adopted)).await
+                    {
                         return e;
                     }
                 }
@@ -346,8 +389,11 @@
         }
     }
 
-    fn adopt(&self, pass: &HandoverChannel, connection: HandoverRecord, relay_state: RelayState) -> bool {
-        let (Ok(client), Ok(backend)) = (pass.receive_stream(), pass.receive_stream()) else { return false };
+    /// Adopts a connection of the predecessor. Returns false if that is not possible.
+    fn adopt(&self, channel: &HandoverChannel, connection: HandoverRecord, relay_state: RelayState) -> bool {
+        let (Ok(client), Ok(backend)) = (channel.receive_stream(), channel.receive_stream()) else {
+            return false;
+        };
         let relay_state = relay_state.with_clock_offset(self.clock_offset.get());
         request_handler::adopt(
             &self.core,
@@ -357,43 +403,50 @@
         )
     }
 
-    /// The old process's side, until the new one has ended, or did not start in time.
-    async fn serve_successor(&self, pass: &HandoverChannel, listener: &Listener, list: &RefCell<Endpoints>) {
-        let mut tells = self.tells();
+    /// Runs the predecessor's side of a handover until the successor has ended or has not started in time.
+    async fn serve_successor(
+        &self,
+        channel: &HandoverChannel,
+        listener: &Listener,
+        endpoints: &RefCell<Endpoints>,
+    ) {
+        let mut outgoing = self.register_peer();
         let state = State {
             clock: Some(self.core.now()),
             backends_in_maintenance: self.core.backends_in_maintenance(),
-            endpoints: list.borrow().clone(),
+            endpoints: endpoints.borrow().clone(),
             learned_state: self.core.learned_state(),
             active_requests: self.core.active_requests(),
         };
-        let (sender, mut handed) = unbounded_channel::<PendingHandover>();
-        let mut under_way: Option<(EstablishedConnection, Done)> = None;
-        let end = async {
+        let (sender, mut pending_handovers) = unbounded_channel::<PendingHandover>();
+        let mut in_progress: Option<(EstablishedConnection, HandoverDone)> = None;
+        let handover = async {
             send_message_with(
-                pass,
+                channel,
                 &HandoverMessage::State(state),
                 &[PassedSocket::Listener(listener.socket())],
             )
             .await?;
-            let (mut taken, mut told) = (false, None);
-            let until = self.core.now() + START;
+            let (mut taken_over, mut last_sent) = (false, None);
+            let start_deadline = self.core.now() + SUCCESSOR_START_TIMEOUT_US;
             loop {
                 tokio::select! {
                     biased;
-                    heard = pass.receive() => match read(heard?)? {
+                    received = channel.receive() => match parse_message(received?)? {
                         HandoverMessage::TakeoverStarted => {
-                            tracing::info!(target: "upgrade", "the process after takes over");
+                            tracing::info!(target: "upgrade", "the successor is taking over");
                             listener.pause_accepting();
                             self.core.set_successor(Some(sender.clone()));
-                            taken = true;
-                            send_message(pass, &HandoverMessage::AcceptStopped).await?;
+                            taken_over = true;
+                            send_message(channel, &HandoverMessage::AcceptStopped).await?;
+                        }
+                        HandoverMessage::Maintenance(backend, in_maintenance) => {
+                            self.report_maintenance(&backend, in_maintenance)
                         }
-                        HandoverMessage::Maintenance(backend, withheld) => self.enter(&backend, withheld),
-                        HandoverMessage::ConnectionAccepted(holds) => {
-                            if let Some((standing, done)) = under_way.take() {
-                                // Its copies are closed here only now.
-                                let _ = done.send(if holds { Ok(()) } else { Err(standing) });
+                        HandoverMessage::ConnectionAccepted(adopted) => {
+                            if let Some((connection, done)) = in_progress.take() {
+                                // This process's copies of the sockets are closed only now.
+                                let _ = done.send(if adopted { Ok(()) } else { Err(connection) });
                             }
                         }
                         HandoverMessage::State(_)
@@ -401,65 +454,70 @@
                         | HandoverMessage::ActiveRequests(_)
                         | HandoverMessage::Connection(..) => {}
                     },
-                    Some(word) = tells.recv() => send_message(pass, &word).await?,
-                    Some(one) = handed.recv(), if under_way.is_none() => {
+                    Some(message) = outgoing.recv() => send_message(channel, &message).await?,
+                    Some(pending) = pending_handovers.recv(), if in_progress.is_none() => {
                         let PendingHandover {
                             connection,
                             standing: EstablishedConnection { client, backend, state: relay_state },
                             done,
-                        } = one;
-                        let word = HandoverMessage::Connection(connection, relay_state);
+                        } = pending;
+                        let message = HandoverMessage::Connection(connection, relay_state);
                         let sent = send_message_with(
-                            pass,
-                            &word,
+                            channel,
+                            &message,
                             &[PassedSocket::Stream(&client), PassedSocket::Stream(&backend)],
                         )
                         .await;
-                        let HandoverMessage::Connection(_, relay_state) = word else { continue };
-                        under_way = Some((
+                        let HandoverMessage::Connection(_, relay_state) = message else { continue };
+                        in_progress = Some((
                             EstablishedConnection { client, backend, state: relay_state },
                             done,
                         ));
                         sent?;
                     }
-                    () = self.core.deadlines.until(self.core.now() + STEP) => {
-                        if !taken && self.core.now() > until {
+                    () = self.core.deadlines.until(self.core.now() + REQUEST_COUNT_INTERVAL_US) => {
+                        if !taken_over && self.core.now() > start_deadline {
                             return Err::<(), io::Error>(io::ErrorKind::TimedOut.into());
                         }
                         let active_requests = self.core.active_requests();
-                        if taken && told.replace(active_requests) != Some(active_requests) {
-                            send_message(pass, &HandoverMessage::ActiveRequests(active_requests)).await?;
+                        if taken_over && last_sent.replace(active_requests) != Some(active_requests) {
+                            send_message(channel, &HandoverMessage::ActiveRequests(active_requests)).await?;
                         }
                     }
                 }
             }
         };
-        if let Err(e) = end.await {
-            tracing::warn!(target: "upgrade", "the process after has ended ({}): this one goes on", e.kind());
+        if let Err(e) = handover.await {
+            tracing::warn!(
+                target: "upgrade",
+                "the successor has ended ({}): this process continues to serve",
+                e.kind()
+            );
         }
         self.core.set_successor(None);
-        // What the other did not take goes on here.
-        handed.close();
-        let queued = std::iter::from_fn(|| handed.try_recv().ok()).map(|one| (one.standing, one.done));
-        for (standing, done) in under_way.into_iter().chain(queued) {
-            let _ = done.send(Err(standing));
+        // This process goes on relaying the connections that the successor did not adopt.
+        pending_handovers.close();
+        let queued = std::iter::from_fn(|| pending_handovers.try_recv().ok())
+            .map(|pending| (pending.standing, pending.done));
+        for (connection, done) in in_progress.into_iter().chain(queued) {
+            let _ = done.send(Err(connection));
         }
         listener.resume_accepting();
     }
 }
 
-fn read(mut word: Vec<u8>) -> io::Result<HandoverMessage> {
-    simd_json::serde::from_slice(&mut word).map_err(|e| io::Error::new(io::ErrorKind::InvalidData, e))
+fn parse_message(mut message: Vec<u8>) -> io::Result<HandoverMessage> {
+    simd_json::serde::from_slice(&mut message).map_err(|e| io::Error::new(io::ErrorKind::InvalidData, e))
 }
 
-async fn send_message(pass: &HandoverChannel, word: &HandoverMessage) -> io::Result<()> {
-    send_message_with(pass, word, &[]).await
+async fn send_message(channel: &HandoverChannel, message: &HandoverMessage) -> io::Result<()> {
+    send_message_with(channel, message, &[]).await
 }
 
 async fn send_message_with(
-    pass: &HandoverChannel,
-    word: &HandoverMessage,
+    channel: &HandoverChannel,
+    message: &HandoverMessage,
     sockets: &[PassedSocket<'_>],
 ) -> io::Result<()> {
-    pass.send(&serde_json::to_vec(word)?, sockets).await
+    channel.send(&serde_json::to_vec(message)?, sockets).await
 }
