--- a/crates/proxy/src/source/discovery.rs
+++ b/crates/proxy/src/source/discovery.rs
@@ -1,4 +1,4 @@
-//! The machine list: discovery's list over HTTP/1.1, read whole once and then watched for changes.
+//! The client of the discovery service: reads a snapshot of the endpoints over HTTP/1.1, then watches them.
 
 use crate::core::Core;
 use http_body_util::{BodyExt, Empty, Limited};
@@ -21,30 +21,31 @@
 use std::task::Poll;
 use tokio::sync::watch;
 
-/// Whatever discovery has to tell binds so long after it had it, whether it was told or not: the protocol's figure;
-/// microseconds.
+/// A change at discovery must be obeyed once discovery has had it this long, whether or not it has reached
+/// the proxy. The platform's protocol sets the value.
 pub const MAX_ENDPOINTS_AGE_US: Micros = 6_000_000;
-/// The same after SIGHUP named another discovery; microseconds.
+/// The same limit after SIGHUP named another discovery address.
 pub const MAX_ENDPOINTS_AGE_AFTER_MOVE_US: Micros = 4_000_000;
-/// How long discovery may hold a watch; milliseconds. A watch that has fallen silent looks like one that is held: what
-/// is left of its hold, of [`SLACK`] and the call that replaces it have to fit into [`MAX_ENDPOINTS_AGE_US`]
-/// together.
+/// How long discovery may hold a watch. A watch that has gone silent looks like a watch that is held. The
+/// rest of its hold, [`HOLD_SLACK_US`] and the call that replaces it therefore have to fit into
+/// [`MAX_ENDPOINTS_AGE_US`] together.
 const HOLD_MS: u64 = 1_500;
-/// What a held call may take beyond its hold; microseconds. Seldom more than 10 ms with 300 callers; up to a second
-/// while all of them come back at once.
-const SLACK: Micros = 1_000_000;
-/// How long a call that opens a watch waits before another is made beside it; microseconds. It waits its turn behind
-/// the calls of all other proxies, and discovery itself ends one that has waited too long. This is what is left of
-/// [`MAX_ENDPOINTS_AGE_US`] after a watch that fell silent.
-const TURN: Micros = MAX_ENDPOINTS_AGE_US - HOLD_MS * 1_000 - SLACK;
-/// A connection to discovery takes no longer than this; microseconds.
-const CONNECT: Micros = 1_000_000;
-/// Pause after a call that failed to an agent of this proxy's own, which no other calls; microseconds.
-const PUSHED_PAUSE: Micros = 100_000;
-/// No machine is larger than so many of the smallest.
-const MOST_WEIGHT: f64 = 1e6;
-/// Largest list that is read: thousands of machines; bytes.
-const MOST: usize = 4 << 20;
+/// Time that a held call may take beyond its hold. With 300 callers it seldom takes more than 10 ms, but up
+/// to a second while all of them reconnect at once.
+const HOLD_SLACK_US: Micros = 1_000_000;
+/// Time limit for a call that opens a watch; after it another call is made beside the first. Discovery queues
+/// the call behind the calls of all other proxies, and itself ends a call that has waited too long. The limit
+/// is what is left of [`MAX_ENDPOINTS_AGE_US`] after a watch that went silent.
+const WATCH_OPEN_TIMEOUT_US: Micros = MAX_ENDPOINTS_AGE_US - HOLD_MS * 1_000 - HOLD_SLACK_US;
+/// Time limit for connecting to discovery.
+const CONNECT_TIMEOUT_US: Micros = 1_000_000;
+/// Delay after a failed call where the endpoints are pushed. The delay is short, since the proxy then calls
+/// an agent of its own, which no other proxy calls.
+const PUSH_RETRY_DELAY_US: Micros = 100_000;
+/// The largest weight: no machine is larger than this many of the smallest machines.
+const MAX_WEIGHT: f64 = 1e6;
+/// The largest response body that is read. It holds thousands of endpoints.
+const MAX_BODY_BYTES: usize = 4 << 20;
 
 #[derive(Clone, Copy, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
@@ -54,6 +55,7 @@
     Gone,
 }
 
+/// A backend as discovery reports it.
 #[derive(Clone, Deserialize, Serialize)]
 pub struct Endpoint {
     name: String,
@@ -69,29 +71,30 @@
     since_ms: u64,
 }
 
-/// An entry as it comes: one that cannot be read harms no other.
+/// An entry of a response. An entry that cannot be parsed does not affect the others.
 #[derive(Deserialize)]
 #[serde(untagged)]
 enum Entry {
-    Whole(Endpoint),
-    Odd {
+    Valid(Endpoint),
+    Invalid {
         #[serde(default)]
         name: String,
     },
-    Nonsense(IgnoredAny),
+    Unreadable(IgnoredAny),
 }
 
-/// An answer of discovery's.
+/// A response of discovery, with its valid entries separated from the invalid ones.
 #[derive(Deserialize, Default)]
 #[serde(from = "RawResponse")]
 pub struct EndpointsResponse {
     index: u64,
     snapshot: bool,
     endpoints: Vec<Endpoint>,
-    /// Who has an entry that cannot be read.
+    /// Names of the backends whose entries are invalid; empty for an entry without a readable name.
     invalid: Vec<String>,
 }
 
+/// A response of discovery as it arrives.
 #[derive(Deserialize)]
 struct RawResponse {
     index: u64,
@@ -102,22 +105,22 @@
 }
 
 impl From<RawResponse> for EndpointsResponse {
-    fn from(told: RawResponse) -> Self {
-        let mut list =
-            EndpointsResponse { index: told.index, snapshot: told.snapshot, ..EndpointsResponse::default() };
-        for entry in told.endpoints {
+    fn from(raw: RawResponse) -> Self {
+        let mut response =
+            EndpointsResponse { index: raw.index, snapshot: raw.snapshot, ..EndpointsResponse::default() };
+        for entry in raw.endpoints {
             match entry {
-                Entry::Whole(endpoint) => list.endpoints.push(endpoint),
-                Entry::Odd { name } => list.invalid.push(name),
-                Entry::Nonsense(_) => list.invalid.push(String::new()),
+                Entry::Valid(endpoint) => response.endpoints.push(endpoint),
+                Entry::Invalid { name } => response.invalid.push(name),
+                Entry::Unreadable(_) => response.invalid.push(String::new()),
             }
         }
-        list
+        response
     }
 }
 
 impl Endpoint {
-    fn member(&self, names: &NameIndex) -> Member {
+    fn to_member(&self, names: &NameIndex) -> Member {
         Member {
             backend: self.name.as_str().into(),
             state: match self.status {
@@ -127,14 +130,14 @@
             },
             zone: names.zone(&self.zone),
             cell: self.group,
-            // Sums of weights stay finite whatever is told.
-            weight: self.weight.unwrap_or(1.0).min(MOST_WEIGHT),
+            // The bound keeps sums of weights finite, whatever discovery reports.
+            weight: self.weight.unwrap_or(1.0).min(MAX_WEIGHT),
             started: self.since_ms.saturating_mul(1_000),
         }
     }
 }
 
-/// The machine list as it stands: all that was told so far, less who is gone.
+/// The known endpoints: all that discovery has reported so far, without the backends that are gone.
 #[derive(Clone, Default, Deserialize, Serialize)]
 pub struct Endpoints {
     index: u64,
@@ -142,12 +145,13 @@
 }
 
 impl Endpoints {
-    fn enter(&mut self, list: &EndpointsResponse, kind: ListKind) {
+    /// Applies a response: a snapshot replaces all endpoints, a delta changes those that it names.
+    fn apply(&mut self, update: &EndpointsResponse, kind: ListKind) {
         if kind == ListKind::Full {
             self.endpoints.clear();
         }
-        self.index = list.index;
-        for endpoint in &list.endpoints {
+        self.index = update.index;
+        for endpoint in &update.endpoints {
             match endpoint.status {
                 Status::Gone => self.endpoints.remove(&endpoint.name),
                 _ => self.endpoints.insert(endpoint.name.clone(), endpoint.clone()),
@@ -155,297 +159,323 @@
         }
     }
 
-    /// As discovery would tell it whole.
+    /// Returns the endpoints as discovery would report them in a snapshot.
     pub fn snapshot(&self) -> EndpointsResponse {
         let endpoints = self.endpoints.values().cloned().collect();
         EndpointsResponse { index: self.index, snapshot: true, endpoints, invalid: Vec::new() }
     }
 }
 
-/// Hands a list to the core: the addresses first, so that whatever the module picks can be dialled. An entry that cannot
-/// be read leaves who it names as before.
+/// Passes a response of discovery to the core. The addresses go first, so that the proxy can connect to
+/// whichever backend the decision module picks. An invalid entry leaves the backend that it names unchanged.
 pub fn apply_endpoints(
     core: &Core,
     names: &NameIndex,
-    roster: &RefCell<Endpoints>,
-    mut list: EndpointsResponse,
+    endpoints: &RefCell<Endpoints>,
+    mut update: EndpointsResponse,
     kind: ListKind,
 ) {
-    for name in &list.invalid {
-        tracing::warn!(target: "machine_list", "{name:?} has an entry that cannot be read");
-        let before = roster.borrow().endpoints.get(name).cloned();
-        list.endpoints.extend(before.filter(|_| kind == ListKind::Full));
+    for name in &update.invalid {
+        tracing::warn!(target: "machine_list", "endpoint {name:?} has an invalid entry");
+        let previous = endpoints.borrow().endpoints.get(name).cloned();
+        update.endpoints.extend(previous.filter(|_| kind == ListKind::Full));
     }
-    roster.borrow_mut().enter(&list, kind);
-    for endpoint in &list.endpoints {
+    endpoints.borrow_mut().apply(&update, kind);
+    for endpoint in &update.endpoints {
         match endpoint.address.parse() {
             Ok(address) => core.set_address(endpoint.name.as_str().into(), address),
-            // A machine that is gone may be named without one.
+            // A backend that is gone may be reported without an address.
             Err(_) if matches!(endpoint.status, Status::Gone) => {}
             Err(_) => {
-                tracing::warn!(target: "machine_list", "{} has the address {:?}", endpoint.name, endpoint.address)
+                tracing::warn!(
+                    target: "machine_list",
+                    "endpoint {} has the invalid address {:?}",
+                    endpoint.name,
+                    endpoint.address
+                )
             }
         }
     }
-    let members = list.endpoints.iter().map(|endpoint| endpoint.member(names)).collect();
+    let members = update.endpoints.iter().map(|endpoint| endpoint.to_member(names)).collect();
     core.dispatch_event(Event::Members { kind, members });
 }
 
-type Sender = SendRequest<Empty<Bytes>>;
+type RequestSender = SendRequest<Empty<Bytes>>;
 
-/// Why a call came to nothing.
-struct Failure {
-    /// Whether it came as far as a connection.
-    reached: bool,
-    why: String,
+/// Why a call to discovery failed.
+struct CallError {
+    /// Whether discovery counts as reachable: the call got beyond connecting, or failed for a local error.
+    reachable: bool,
+    reason: String,
 }
 
-impl Failure {
-    fn unreached(why: impl ToString) -> Self {
-        Failure { reached: false, why: why.to_string() }
+impl CallError {
+    /// A failure that shows discovery to be unreachable.
+    fn unreachable(reason: impl ToString) -> Self {
+        CallError { reachable: false, reason: reason.to_string() }
     }
 
-    /// One of this machine's own tells nothing of discovery.
-    fn connecting(why: io::Error) -> Self {
-        if is_local_error(&why) { Failure::after("not asked", why) } else { Failure::unreached(why) }
+    /// A failure to connect. A local error says nothing about discovery, so it does not count as unreachable.
+    fn from_connect_error(error: io::Error) -> Self {
+        if is_local_error(&error) {
+            CallError::at_stage("request not sent", error)
+        } else {
+            CallError::unreachable(error)
+        }
     }
 
-    fn after(stage: &str, why: impl ToString) -> Self {
-        Failure { reached: true, why: format!("{stage}: {}", why.to_string()) }
+    /// A failure at a stage of the call that does not show discovery to be unreachable.
+    fn at_stage(stage: &str, reason: impl ToString) -> Self {
+        CallError { reachable: true, reason: format!("{stage}: {}", reason.to_string()) }
     }
 }
 
-/// What a call brought, from which discovery, and the connection that it came on.
-struct Answer {
-    list: EndpointsResponse,
-    whole: bool,
+/// The response to a call, with the discovery address that sent it and the connection that it arrived on.
+struct CallResponse {
+    update: EndpointsResponse,
+    is_snapshot: bool,
     discovery: SocketAddr,
-    sender: Sender,
+    sender: RequestSender,
 }
 
-/// A call under way, however long it takes.
-type Calling<'a> = Pin<Box<dyn Future<Output = Result<Answer, Failure>> + 'a>>;
+/// A call in progress, without a time limit.
+type PendingCall<'a> = Pin<Box<dyn Future<Output = Result<CallResponse, CallError>> + 'a>>;
 
-async fn connect(core: &Core, discovery: SocketAddr) -> Result<Sender, Failure> {
+/// Connects to discovery.
+async fn connect(core: &Core, discovery: SocketAddr) -> Result<RequestSender, CallError> {
     let stream = tokio::select! {
         biased;
-        stream = core.host.connect(discovery) => stream.map_err(Failure::connecting)?,
-        () = core.deadlines.until(core.now() + CONNECT) => return Err(Failure::unreached("no connection")),
+        stream = core.host.connect(discovery) => stream.map_err(CallError::from_connect_error)?,
+        () = core.deadlines.until(core.now() + CONNECT_TIMEOUT_US) => {
+            return Err(CallError::unreachable("connect timed out"))
+        }
     };
     stream.set_nodelay();
     let (sender, connection) =
-        handshake(TokioIo::new(stream)).await.map_err(|e| Failure::after("not asked", e))?;
+        handshake(TokioIo::new(stream)).await.map_err(|e| CallError::at_stage("request not sent", e))?;
     core.host.spawn(async move {
-        // How it ended shows at the call that used it.
+        // The call that uses the connection reports its error.
         let _ = connection.await;
     });
     Ok(sender)
 }
 
-/// One call on the kept connection, or on a new one: a watch from a version on, or for the whole list. A watch is held
-/// where it goes on; the call that opens it is answered at its turn, so that what keeps it is others' calls alone.
-async fn call(
+/// Makes one call on the kept connection, or on a new one. With a version the call asks for the changes since
+/// that version, without one it asks for a snapshot. Discovery holds a call that continues a watch on a kept
+/// connection. The call that opens a watch is not held: it is answered as soon as it reaches the head of
+/// discovery's queue, so that only the calls of other proxies delay it.
+async fn call_discovery(
     core: &Core,
-    kept: Option<Sender>,
+    kept_sender: Option<RequestSender>,
     discovery: SocketAddr,
-    from: Option<u64>,
-) -> Result<Answer, Failure> {
-    let hold = if kept.is_some() { HOLD_MS } else { 0 };
-    let mut sender = match kept {
+    from_index: Option<u64>,
+) -> Result<CallResponse, CallError> {
+    let hold_ms = if kept_sender.is_some() { HOLD_MS } else { 0 };
+    let mut sender = match kept_sender {
         Some(sender) => sender,
         None => connect(core, discovery).await?,
     };
-    sender.ready().await.map_err(|e| Failure::after("not asked", e))?;
-    let query = from.map_or(String::new(), |index| format!("?from={index}&hold_ms={hold}"));
+    sender.ready().await.map_err(|e| CallError::at_stage("request not sent", e))?;
+    let query = from_index.map_or(String::new(), |index| format!("?from={index}&hold_ms={hold_ms}"));
     let request = hyper::Request::get(format!("/api/targets{query}"))
         .header(HOST, discovery.to_string())
         .body(Empty::new())
-        .map_err(|e| Failure::after("not asked", e))?;
-    let response = sender.send_request(request).await.map_err(|e| Failure::after("asked, no answer", e))?;
+        .map_err(|e| CallError::at_stage("request not sent", e))?;
+    let response = sender.send_request(request).await.map_err(|e| CallError::at_stage("no response", e))?;
     let status = response.status();
-    let body = Limited::new(response.into_body(), MOST).collect().await;
-    let body = body.map_err(|e| Failure::after("an answer that is not whole", e))?;
+    let body = Limited::new(response.into_body(), MAX_BODY_BYTES).collect().await;
+    let body = body.map_err(|e| CallError::at_stage("incomplete response", e))?;
     if !status.is_success() {
-        return Err(Failure::after("answered", format!("status {status}")));
+        return Err(CallError::at_stage("response", format!("status {status}")));
     }
     let mut bytes = body.to_bytes().to_vec();
-    let list: EndpointsResponse = simd_json::serde::from_slice(&mut bytes)
-        .map_err(|e| Failure::after("an answer that is no list", e))?;
-    let whole = list.snapshot || from.is_none();
-    if list.endpoints.is_empty() && whole {
-        // A fleet that left all at once would be told as gone, machine by machine.
-        return Err(Failure::after("answered", "a whole list that names nobody"));
+    let update: EndpointsResponse = simd_json::serde::from_slice(&mut bytes)
+        .map_err(|e| CallError::at_stage("response is not an endpoint list", e))?;
+    let is_snapshot = update.snapshot || from_index.is_none();
+    if update.endpoints.is_empty() && is_snapshot {
+        // If all backends left at once, discovery would report each of them as gone.
+        return Err(CallError::at_stage("response", "snapshot without endpoints"));
     }
-    Ok(Answer { list, whole, discovery, sender })
+    Ok(CallResponse { update, is_snapshot, discovery, sender })
 }
 
-/// Calls that were late, or went to the discovery before, and may be answered yet, each with when it began.
+/// Calls that timed out or went to the previous discovery address, and may still be answered, each with its
+/// start time.
 #[derive(Default)]
-struct Late<'a>(Vec<(Micros, Calling<'a>)>);
+struct LateCalls<'a>(Vec<(Micros, PendingCall<'a>)>);
 
-impl Late<'_> {
-    /// The first answer that comes; those that came to nothing are forgotten. Waits for ever where there are none.
-    async fn answer(&mut self) -> Answer {
+impl LateCalls<'_> {
+    /// Waits for the first response, and drops the calls that fail. Waits forever if there are no calls.
+    async fn next_response(&mut self) -> CallResponse {
         poll_fn(|context| {
-            let mut answer = None;
-            self.0.retain_mut(|(_, calling)| match calling.as_mut().poll(context) {
+            let mut response = None;
+            self.0.retain_mut(|(_, pending_call)| match pending_call.as_mut().poll(context) {
                 Poll::Pending => true,
-                Poll::Ready(ended) => {
-                    answer = answer.take().or(ended.ok());
+                Poll::Ready(result) => {
+                    response = response.take().or(result.ok());
                     false
                 }
             });
-            answer.take().map_or(Poll::Pending, Poll::Ready)
+            response.take().map_or(Poll::Pending, Poll::Ready)
         })
         .await
     }
 }
 
-/// What a wait for discovery came to.
-enum Came {
-    Answer(Answer),
-    Failure(Failure),
-    /// Discovery is elsewhere now.
-    Moved,
-    /// It is time for another call.
-    Again,
+/// The outcome of a wait for discovery.
+enum WaitOutcome {
+    Received(CallResponse),
+    Failed(CallError),
+    /// Discovery has a new address.
+    DiscoveryMoved,
+    /// The next call is due.
+    CallDue,
 }
 
-/// Whoever follows a discovery, and how far.
-struct Follower<'a> {
+/// The state of watching discovery.
+struct Watcher<'a> {
     core: &'a Core,
     names: &'a NameIndex,
-    roster: &'a RefCell<Endpoints>,
-    moves: watch::Receiver<SocketAddr>,
+    endpoints: &'a RefCell<Endpoints>,
+    address_changes: watch::Receiver<SocketAddr>,
     discovery: SocketAddr,
-    /// The version seen last; none before a list of this discovery's.
-    from: Option<u64>,
-    kept: Option<Sender>,
-    late: Late<'a>,
+    /// The last version received; `None` before the first response of the current discovery.
+    from_index: Option<u64>,
+    kept_sender: Option<RequestSender>,
+    late_calls: LateCalls<'a>,
 }
 
-/// Follows discovery wherever it is: from the known version on once the module asks, else with the whole list
-/// at once. Another discovery is asked for the whole list at once too, whatever is left of a back-off.
+/// Watches discovery, and follows it to a new address. With a known version, the watch continues from that
+/// version once the decision module asks for a call; without one, a snapshot is requested at once. After a
+/// move of discovery a snapshot is requested at once too, whatever is left of a backoff.
 ///
-/// Where the list must be asked for, whether and when to ask again is the module's to say; where it is pushed, what the
-/// agent beside this proxy has binds whether or not a watch is open, so that one is opened at the start and soon after
-/// each that ended.
+/// Where the proxy asks for endpoints, the decision module decides whether and when to call again after a
+/// failure. Where endpoints are pushed, the changes that the agent beside this proxy has must be obeyed
+/// whether or not a watch is open. A watch is therefore opened at the start, and again soon after each one
+/// that ended.
 ///
-/// A call that is late counts as failed and another one follows, but its connection is read on until one is answered, as
-/// is that of a call to the discovery before: what is written there counts as told. And a call that is given up takes its
-/// turn at discovery all the same: a fleet that gave up its calls while they waited their turns would keep discovery busy
-/// with calls that nobody hears.
+/// A call that times out counts as failed, and another one follows. The connection of the late call is still
+/// read until some call is answered, and so is that of a call to the previous discovery address: what
+/// discovery has written there counts as received. Besides, an abandoned call keeps its place in discovery's
+/// queue: if all proxies abandoned their queued calls, discovery would be kept busy with calls whose
+/// responses no proxy reads.
 pub async fn watch(
     core: Rc<Core>,
     names: Rc<NameIndex>,
-    roster: Rc<RefCell<Endpoints>>,
-    mut moves: watch::Receiver<SocketAddr>,
-    from: Option<u64>,
+    endpoints: Rc<RefCell<Endpoints>>,
+    mut address_changes: watch::Receiver<SocketAddr>,
+    from_index: Option<u64>,
 ) {
-    let discovery = *moves.borrow_and_update();
-    let (core, names, roster) = (&*core, &*names, &*roster);
-    let (kept, late) = (None, Late::default());
-    let mut follower = Follower { core, names, roster, moves, discovery, from, kept, late };
-    let asked_first = from.is_some() && core.settings().ask_for_list;
-    let mut came = if asked_first { follower.pause().await } else { Came::Again };
+    let discovery = *address_changes.borrow_and_update();
+    let (core, names, endpoints) = (&*core, &*names, &*endpoints);
+    let (kept_sender, late_calls) = (None, LateCalls::default());
+    let mut watcher =
+        Watcher { core, names, endpoints, address_changes, discovery, from_index, kept_sender, late_calls };
+    let wait_first = from_index.is_some() && core.settings().ask_for_list;
+    let mut outcome = if wait_first { watcher.wait_for_next_call().await } else { WaitOutcome::CallDue };
     loop {
-        came = match came {
-            Came::Answer(answer) => {
-                follower.enter(answer);
-                follower.call().await
+        outcome = match outcome {
+            WaitOutcome::Received(response) => {
+                watcher.apply_response(response);
+                watcher.make_call().await
             }
-            Came::Failure(Failure { reached, why }) => {
-                tracing::warn!(target: "machine_list", "a call failed: {why}");
+            WaitOutcome::Failed(CallError { reachable, reason }) => {
+                tracing::warn!(target: "machine_list", "call to discovery failed: {reason}");
                 core.clear_list_request();
-                let kind = if reached { ListKind::Failed } else { ListKind::Unreachable };
+                let kind = if reachable { ListKind::Failed } else { ListKind::Unreachable };
                 core.dispatch_event(Event::Members { kind, members: [].into() });
-                follower.pause().await
+                watcher.wait_for_next_call().await
             }
-            Came::Moved => {
+            WaitOutcome::DiscoveryMoved => {
                 core.dispatch_event(Event::Members { kind: ListKind::DiscoveryMoved, members: [].into() });
-                (follower.from, follower.kept) = (None, None);
-                follower.discovery = *follower.moves.borrow_and_update();
-                follower.call().await
+                (watcher.from_index, watcher.kept_sender) = (None, None);
+                watcher.discovery = *watcher.address_changes.borrow_and_update();
+                watcher.make_call().await
             }
-            Came::Again => follower.call().await,
+            WaitOutcome::CallDue => watcher.make_call().await,
         }
     }
 }
 
-impl<'a> Follower<'a> {
-    /// Enters what the discovery that is followed told.
-    fn enter(&mut self, Answer { list, whole, sender, .. }: Answer) {
-        (self.from, self.kept, self.late) = (Some(list.index), Some(sender), Late::default());
+impl<'a> Watcher<'a> {
+    /// Applies a response of the current discovery.
+    fn apply_response(&mut self, CallResponse { update, is_snapshot, sender, .. }: CallResponse) {
+        (self.from_index, self.kept_sender, self.late_calls) =
+            (Some(update.index), Some(sender), LateCalls::default());
         apply_endpoints(
             self.core,
             self.names,
-            self.roster,
-            list,
-            if whole { ListKind::Full } else { ListKind::Delta },
+            self.endpoints,
+            update,
+            if is_snapshot { ListKind::Full } else { ListKind::Delta },
         );
     }
 
-    /// What came on a call that was late: the answer, if the discovery that is followed gave it. The one before is
-    /// watched on where it still answers, until the new one does.
-    fn sort(&mut self, answer: Answer) -> Option<Answer> {
-        if answer.discovery == self.discovery {
-            return Some(answer);
+    /// Handles the response to a late call, and returns it if it is from the current discovery. The previous
+    /// discovery is watched further while it still answers, until the current one answers.
+    fn handle_late(&mut self, response: CallResponse) -> Option<CallResponse> {
+        if response.discovery == self.discovery {
+            return Some(response);
         }
-        let Answer { list, whole, discovery, sender } = answer;
-        let (core, index) = (self.core, list.index);
-        // A whole list of the one before would stand for the new one's.
-        if whole {
+        let CallResponse { update, is_snapshot, discovery, sender } = response;
+        let (core, index) = (self.core, update.index);
+        // A snapshot of the previous discovery would be taken for the current one's.
+        if is_snapshot {
             return None;
         }
-        apply_endpoints(core, self.names, self.roster, list, ListKind::Delta);
-        let goes_on = Box::pin(call(core, Some(sender), discovery, Some(index)));
-        self.late.0.push((core.now(), goes_on));
+        apply_endpoints(core, self.names, self.endpoints, update, ListKind::Delta);
+        let next_call = Box::pin(call_discovery(core, Some(sender), discovery, Some(index)));
+        self.late_calls.0.push((core.now(), next_call));
         None
     }
 
-    /// Makes a call. Where one that was late is answered first, the watch goes on there: there is no need of this one.
-    async fn call(&mut self) -> Came {
-        let (core, began) = (self.core, self.core.now());
-        let open = self.kept.take().filter(|sender| !sender.is_closed());
-        let patience = if open.is_some() { HOLD_MS * 1_000 + SLACK } else { TURN };
-        let mut calling: Calling<'a> = Box::pin(call(core, open, self.discovery, self.from));
-        let mut overdue = pin!(core.deadlines.until(began + patience));
-        let came = loop {
+    /// Makes a call. If a late call is answered first, the watch continues there and this call is dropped.
+    async fn make_call(&mut self) -> WaitOutcome {
+        let (core, started_at) = (self.core, self.core.now());
+        let open_sender = self.kept_sender.take().filter(|sender| !sender.is_closed());
+        let timeout =
+            if open_sender.is_some() { HOLD_MS * 1_000 + HOLD_SLACK_US } else { WATCH_OPEN_TIMEOUT_US };
+        let mut pending_call: PendingCall<'a> =
+            Box::pin(call_discovery(core, open_sender, self.discovery, self.from_index));
+        let mut timed_out = pin!(core.deadlines.until(started_at + timeout));
+        let outcome = loop {
             tokio::select! {
                 biased;
-                answer = &mut calling => return answer.map_or_else(Came::Failure, Came::Answer),
-                answer = self.late.answer() => if let Some(answer) = self.sort(answer) {
-                    return Came::Answer(answer);
+                result = &mut pending_call => {
+                    return result.map_or_else(WaitOutcome::Failed, WaitOutcome::Received)
+                }
+                late = self.late_calls.next_response() => if let Some(response) = self.handle_late(late) {
+                    return WaitOutcome::Received(response);
                 },
-                Ok(()) = self.moves.changed() => break Came::Moved,
-                () = &mut overdue => {
-                    let why = format!("within {} ms", patience / 1_000);
-                    break Came::Failure(Failure::after("asked, no answer", why));
+                Ok(()) = self.address_changes.changed() => break WaitOutcome::DiscoveryMoved,
+                () = &mut timed_out => {
+                    let reason = format!("timeout after {} ms", timeout / 1_000);
+                    break WaitOutcome::Failed(CallError::at_stage("no response", reason));
                 }
             }
         };
-        self.late.0.retain(|(began, _)| core.now() < began + core.settings().ask_within);
-        self.late.0.push((began, calling));
-        came
+        self.late_calls.0.retain(|(started_at, _)| core.now() < started_at + core.settings().ask_within);
+        self.late_calls.0.push((started_at, pending_call));
+        outcome
     }
 
-    /// Waits until it is time for another call.
-    async fn pause(&mut self) -> Came {
+    /// Waits until the next call is due.
+    async fn wait_for_next_call(&mut self) -> WaitOutcome {
         let core = self.core;
-        let mut again = pin!(async {
+        let mut call_due = pin!(async {
             match core.settings().ask_for_list {
                 true => core.list_requested().await,
-                false => core.deadlines.until(core.now() + PUSHED_PAUSE).await,
+                false => core.deadlines.until(core.now() + PUSH_RETRY_DELAY_US).await,
             }
         });
         loop {
             tokio::select! {
                 biased;
-                answer = self.late.answer() => if let Some(answer) = self.sort(answer) {
-                    return Came::Answer(answer);
+                late = self.late_calls.next_response() => if let Some(response) = self.handle_late(late) {
+                    return WaitOutcome::Received(response);
                 },
-                Ok(()) = self.moves.changed() => return Came::Moved,
-                () = &mut again => return Came::Again,
+                Ok(()) = self.address_changes.changed() => return WaitOutcome::DiscoveryMoved,
+                () = &mut call_due => return WaitOutcome::CallDue,
             }
         }
     }
