--- a/crates/proxy/src/source/mod.rs
+++ b/crates/proxy/src/source/mod.rs
@@ -1,3 +1,3 @@
-//! What tells of backends.
+//! Sources of the list of backends.
 
 pub mod discovery;
