--- a/crates/proxy/src/listener.rs
+++ b/crates/proxy/src/listener.rs
@@ -1,4 +1,4 @@
-//! Takes clients in: the listener, pending connections, and the bound on jobs.
+//! Accepts clients, reads their requests, and bounds the number of requests.
 
 use crate::config::ErrorMessage;
 use crate::core::Core;
@@ -16,145 +16,158 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Descriptors kept for probes, the machine list, the listener and the runtime.
-const RESERVED: usize = 40;
-/// Descriptors of one job: both sides.
-const PER_JOB: usize = 2;
-/// Part of all descriptors, and the least number, for clients without a job: not heard yet, or sent away.
-const PENDING_PART: usize = 8;
-const PENDING_LEAST: usize = 16;
-/// How long one that finds no room is told to stay away: some jobs end meanwhile; microseconds.
-const NO_ROOM: Micros = 1_000_000;
-/// From connecting, a client has this long to open its job: half of what it is owed a word in; microseconds.
-const HEARING: Micros = 1_500_000;
-/// Clients that the system lets wait to be taken in: beyond that they would try again after a second only.
-const BACKLOG: i32 = 4096;
-/// So many descriptors of the reserved ones, for so long, serve those who are told that their place is wanted;
-/// microseconds.
-const PARTING: usize = 8;
-const PARTING_TIME: Micros = 50_000;
-/// An accept that fails is made so often again...
-const ACCEPT_TRIES: usize = 4;
-/// ...after this pause, before somebody is refused for it; microseconds.
-const ACCEPT_PAUSE: Micros = 5_000;
-/// For so long a client that finds no descriptor is told so; microseconds.
-const REFUSING: Micros = 20_000;
+/// Descriptors reserved for probes, discovery, the listener and the runtime.
+const RESERVED_DESCRIPTORS: usize = 40;
+/// Descriptors of one request: the client's connection and the backend's.
+const DESCRIPTORS_PER_REQUEST: usize = 2;
+/// One in this many descriptors is for pending connections: clients that have not sent a request yet, or are
+/// being refused.
+const DESCRIPTORS_PER_PENDING_SLOT: usize = 8;
+/// The least number of pending connections.
+const MIN_PENDING_SLOTS: usize = 16;
+/// How long a client that is refused for lack of capacity is asked to wait. Some requests end meanwhile.
+const RETRY_AFTER_US: Micros = 1_000_000;
+/// Time limit for a client to send its request, from connecting on: half of the time in which it must get an
+/// answer.
+const REQUEST_READ_TIMEOUT_US: Micros = 1_500_000;
+/// The number of clients that the system queues until they are accepted. A client beyond it would retry only
+/// after a second.
+const LISTEN_BACKLOG: i32 = 4096;
+/// The number of evicted clients that may be sent a refusal at once. Each uses one of the reserved
+/// descriptors.
+const MAX_EVICTIONS: usize = 8;
+/// Time limit for sending an evicted client its refusal.
+const EVICTION_TIMEOUT_US: Micros = 50_000;
+/// The number of accepts in a row that may fail before a client is refused for it.
+const MAX_ACCEPT_FAILURES: usize = 4;
+/// Delay after a failed accept.
+const ACCEPT_RETRY_DELAY_US: Micros = 5_000;
+/// Time limit for refusing a client over the spare descriptor.
+const REFUSE_TIMEOUT_US: Micros = 20_000;
 
-/// Takes clients in.
+/// Accepts clients and starts a task for each of them.
 pub struct Listener {
     listener: TcpListener,
-    /// Most jobs at once, of this process and the one before together.
-    most: usize,
-    /// Jobs that the process before still holds.
-    elsewhere: Cell<usize>,
-    /// Another process takes clients in; rung when that changes.
-    closed: Cell<bool>,
-    changed: Notify,
-    /// Those being told the last who have no place any more.
-    parting: Cell<usize>,
+    /// The largest number of requests at once, of this process and its predecessor together.
+    max_requests: usize,
+    /// The number of requests that the predecessor still holds.
+    predecessor_requests: Cell<usize>,
+    /// Whether accepting is left to another process.
+    accept_paused: Cell<bool>,
+    /// Notified when `accept_paused` changes.
+    pause_changed: Notify,
+    /// The number of evicted clients that are being sent a refusal.
+    evicting: Cell<usize>,
     pending: Rc<PendingConnections>,
-    /// A descriptor to give up when there is none left to accept with.
-    spare: RefCell<Option<Box<dyn Any>>>,
+    /// A descriptor to release when none is left for accepting.
+    spare_descriptor: RefCell<Option<Box<dyn Any>>>,
 }
 
 impl Listener {
-    /// Listens there; beside another process of the same address, where that is wanted.
+    /// Listens on an address. With `reuse_port` another process may listen on the same address.
     pub fn bind(host: &Host, address: SocketAddr, reuse_port: bool) -> Result<TcpListener, ErrorMessage> {
-        host.listen(address, BACKLOG, reuse_port).map_err(|e| format!("listen: {address}: {e}"))
+        host.listen(address, LISTEN_BACKLOG, reuse_port).map_err(|e| format!("listen: {address}: {e}"))
     }
 
-    /// For as many jobs as `sockets` descriptors allow once `reserved` are taken for other ends.
+    /// Creates a listener for as many requests as `sockets` descriptors allow, less `reserved` ones for other
+    /// purposes.
     pub fn new(host: &Host, listener: TcpListener, sockets: usize, reserved: usize) -> Self {
-        let places = (sockets / PENDING_PART).max(PENDING_LEAST);
-        let most = (sockets.saturating_sub(RESERVED + places + reserved) / PER_JOB).max(1);
-        let spare = RefCell::new(host.reserve_descriptor());
+        let pending_slots = (sockets / DESCRIPTORS_PER_PENDING_SLOT).max(MIN_PENDING_SLOTS);
+        let max_requests = (sockets.saturating_sub(RESERVED_DESCRIPTORS + pending_slots + reserved)
+            / DESCRIPTORS_PER_REQUEST)
+            .max(1);
+        let spare_descriptor = RefCell::new(host.reserve_descriptor());
         Listener {
             listener,
-            most,
-            elsewhere: Cell::new(0),
-            closed: Cell::new(false),
-            changed: Notify::new(),
-            parting: Cell::new(0),
-            pending: PendingConnections::new(places),
-            spare,
+            max_requests,
+            predecessor_requests: Cell::new(0),
+            accept_paused: Cell::new(false),
+            pause_changed: Notify::new(),
+            evicting: Cell::new(0),
+            pending: PendingConnections::new(pending_slots),
+            spare_descriptor,
         }
     }
 
-    /// The process before still holds so many jobs, which count as this one's.
+    /// Sets the number of requests that the predecessor still holds. They count against this process's limit.
     pub fn set_predecessor_requests(&self, requests: usize) {
-        self.elsewhere.set(requests);
+        self.predecessor_requests.set(requests);
     }
 
-    /// One of those that the process before held may be this one's now.
-    pub fn release_predecessor_request(&self, one_less: bool) {
-        self.elsewhere.set(self.elsewhere.get().saturating_sub(usize::from(one_less)));
+    /// Records that this process has adopted a request of the predecessor, if `adopted` is true.
+    pub fn release_predecessor_request(&self, adopted: bool) {
+        self.predecessor_requests.set(self.predecessor_requests.get().saturating_sub(usize::from(adopted)));
     }
 
-    /// Leaves the next clients to the process that shares the listening socket.
+    /// Stops accepting, so that the process that shares the listening socket accepts the next clients.
     pub fn pause_accepting(&self) {
-        self.closed.set(true);
-        self.changed.notify_one();
+        self.accept_paused.set(true);
+        self.pause_changed.notify_one();
     }
 
-    /// Takes clients in again.
+    /// Accepts clients again.
     pub fn resume_accepting(&self) {
-        self.closed.set(false);
-        self.changed.notify_one();
+        self.accept_paused.set(false);
+        self.pause_changed.notify_one();
     }
 
-    /// The listening socket, to be given to another process.
+    /// The listening socket, to be passed to another process.
     pub fn socket(&self) -> &TcpListener {
         &self.listener
     }
 
-    /// The next client, once and while it is for this process to take it in.
+    /// Accepts the next client, unless accepting is paused.
     async fn accept(&self) -> io::Result<TcpStream> {
         loop {
             tokio::select! {
                 biased;
-                () = self.changed.notified() => {}
-                accepted = self.listener.accept(), if !self.closed.get() => return accepted.map(|(stream, _)| stream),
+                () = self.pause_changed.notified() => {}
+                accepted = self.listener.accept(), if !self.accept_paused.get() => {
+                    return accepted.map(|(stream, _)| stream)
+                }
             }
         }
     }
 
-    /// How many jobs there may be now.
-    fn room(&self) -> usize {
-        self.most.saturating_sub(self.elsewhere.get())
+    /// The number of requests that this process may hold now.
+    fn cap(&self) -> usize {
+        self.max_requests.saturating_sub(self.predecessor_requests.get())
     }
 
+    /// The address that the listener is bound to.
     pub fn address(&self) -> SocketAddr {
         self.listener.address()
     }
 
-    /// Accepts for ever; each client is a task of its own, where a panic stays.
+    /// Accepts clients forever. Each client is handled in a task of its own, which confines a panic.
     pub async fn serve(self: Rc<Self>, core: Rc<Core>, protocol: Rc<dyn Protocol>) {
         let mut failures = 0;
         loop {
-            let place = self.pending.acquire_slot(&core).await;
+            let slot = self.pending.acquire_slot(&core).await;
             match self.accept().await {
                 Ok(stream) => {
                     failures = 0;
                     let (host, core, protocol) = (core.host.clone(), core.clone(), protocol.clone());
-                    let (listener, owed) = (self.clone(), core.shutdown_guard());
+                    let (listener, guard) = (self.clone(), core.shutdown_guard());
                     host.spawn(async move {
-                        let heard = listener.receive(&core, &protocol, stream, place).await;
-                        if let Some((stream, opening)) = heard {
-                            let request = request_handler::run(core, protocol, stream, opening);
-                            // The job has its seat before it waits for anything.
-                            drop(owed);
-                            request.await;
+                        let received = listener.receive_request(&core, &protocol, stream, slot).await;
+                        if let Some((stream, request)) = received {
+                            let handler = request_handler::run(core, protocol, stream, request);
+                            // `run` registers the request before it first waits, so the process cannot end
+                            // in between.
+                            drop(guard);
+                            handler.await;
                         }
                     });
                 }
-                // A lack that lasts only for a moment refuses nobody.
-                Err(_) if failures < ACCEPT_TRIES => {
+                // A momentary lack of resources causes no refusal.
+                Err(_) if failures < MAX_ACCEPT_FAILURES => {
                     failures += 1;
-                    core.deadlines.until(core.now() + ACCEPT_PAUSE).await;
+                    core.deadlines.until(core.now() + ACCEPT_RETRY_DELAY_US).await;
                 }
                 Err(e) => {
-                    tracing::warn!(target: "listener", "{e}");
-                    self.refuse_one(&core, &*protocol).await;
+                    tracing::warn!(target: "listener", "accept failed: {e}");
+                    self.refuse_with_spare_descriptor(&core, &*protocol).await;
                 }
             }
         }
@@ -162,133 +175,137 @@
 }
 
 impl Listener {
-    /// The spare descriptor lets one client in, to be told that there is no room, in place of leaving all in the queue.
-    async fn refuse_one(&self, core: &Rc<Core>, protocol: &dyn Protocol) {
-        drop(self.spare.borrow_mut().take());
-        let until = core.now() + REFUSING;
-        let told = async {
+    /// Accepts one client with the spare descriptor and refuses it. Otherwise all clients would stay in the
+    /// backlog.
+    async fn refuse_with_spare_descriptor(&self, core: &Rc<Core>, protocol: &dyn Protocol) {
+        drop(self.spare_descriptor.borrow_mut().take());
+        let deadline = core.now() + REFUSE_TIMEOUT_US;
+        let refusal = async {
             if let Ok(stream) = self.accept().await {
                 stream.set_nodelay();
-                send_and_close(core, stream, &protocol.refusal(Some(NO_ROOM))).await;
+                send_and_close(core, stream, &protocol.refusal(Some(RETRY_AFTER_US))).await;
             }
         };
         tokio::select! {
             biased;
-            () = told => {}
-            () = core.deadlines.until(until) => {}
+            () = refusal => {}
+            () = core.deadlines.until(deadline) => {}
         }
-        *self.spare.borrow_mut() = core.host.reserve_descriptor();
-        core.deadlines.until(core.now() + ACCEPT_PAUSE).await;
+        *self.spare_descriptor.borrow_mut() = core.host.reserve_descriptor();
+        core.deadlines.until(core.now() + ACCEPT_RETRY_DELAY_US).await;
     }
 }
 
-/// Says that there is no room, without waiting.
+/// Refuses a client for lack of capacity, without waiting.
 fn refuse(stream: &TcpStream, protocol: &dyn Protocol) {
     stream.set_nodelay();
-    // A fresh connection has room for a line; one that is broken needs none.
-    let _ = stream.try_write(&protocol.refusal(Some(NO_ROOM)));
+    // The send buffer of a new connection holds a line; a broken connection needs no refusal.
+    let _ = stream.try_write(&protocol.refusal(Some(RETRY_AFTER_US)));
     let _ = stream.finish();
-    // What lies unread at a close would make it a reset, which could take the words back.
+    // Closing with unread bytes would reset the connection, which could discard the refusal.
     let _ = stream.try_read(&mut [0; MAX_LINE_BYTES]);
 }
 
-/// What a client's opening came to.
-enum Heard {
-    Job(Box<dyn ClientRequest>),
-    /// Nothing that can be served.
-    Wrong,
-    /// Nothing yet, and it is not waited for any longer.
-    Late,
-    /// It ended or broke before.
-    Gone,
+/// The outcome of reading a client's request.
+enum Read {
+    Request(Box<dyn ClientRequest>),
+    /// What the client sent is not a valid request.
+    Invalid,
+    /// The client has not sent a whole request, and the proxy waits no longer.
+    TimedOut,
+    /// The client closed or lost the connection before its request was complete.
+    Disconnected,
 }
 
 impl Listener {
-    /// Hears a client, which is pending meanwhile; its job, if it has one and there is room.
-    async fn receive(
+    /// Reads a client's request while the connection occupies a pending slot. Returns the request if it is
+    /// valid and there is capacity; otherwise the client gets its final answer here.
+    async fn receive_request(
         self: &Rc<Self>,
         core: &Rc<Core>,
         protocol: &Rc<dyn Protocol>,
         stream: TcpStream,
-        place: PendingSlot,
+        slot: PendingSlot,
     ) -> Option<(TcpStream, Box<dyn ClientRequest>)> {
         stream.set_nodelay();
-        let heard = tokio::select! {
+        let received = tokio::select! {
             biased;
-            heard = hear(&**protocol, &stream) => heard,
-            () = core.deadlines.until(core.now() + HEARING) => Heard::Late,
-            // One that says nothing is told to go elsewhere while it can.
-            () = core.draining.wait() => Heard::Late,
-            () = place.evicted() => {
+            received = read_request(&**protocol, &stream) => received,
+            () = core.deadlines.until(core.now() + REQUEST_READ_TIMEOUT_US) => Read::TimedOut,
+            // During a drain a client without a request is told to go elsewhere while it still can.
+            () = core.draining.wait() => Read::TimedOut,
+            () = slot.evicted() => {
                 self.evict(core, protocol, stream);
                 return None;
             }
         };
-        let words = match heard {
-            Heard::Job(opening) if core.active_requests() < self.room() => return Some((stream, opening)),
-            Heard::Job(opening) => {
-                core.metrics.count_answer(opening.request().class, FinalAnswer::Refused);
-                protocol.refusal(Some(NO_ROOM))
+        let answer = match received {
+            Read::Request(request) if core.active_requests() < self.cap() => return Some((stream, request)),
+            Read::Request(request) => {
+                core.metrics.count_answer(request.request().class, FinalAnswer::Refused);
+                protocol.refusal(Some(RETRY_AFTER_US))
             }
-            // Nothing of it was sent on, so that coming again is harmless.
-            Heard::Late => protocol.refusal(Some(NO_ROOM)),
-            Heard::Wrong => protocol.failure(),
-            Heard::Gone => return None,
+            // Nothing was sent to a backend, so a retry is harmless.
+            Read::TimedOut => protocol.refusal(Some(RETRY_AFTER_US)),
+            Read::Invalid => protocol.failure(),
+            Read::Disconnected => return None,
         };
         tokio::select! {
-            // First, so that the words are on their way whatever else is ready.
+            // Sending comes first, so that the answer is on its way whatever else is ready.
             biased;
-            () = send_and_close(core, stream, &words) => {}
-            () = place.evicted() => {}
+            () = send_and_close(core, stream, &answer) => {}
+            () = slot.evicted() => {}
         }
         None
     }
 }
 
 impl Listener {
-    /// Tells one the last whose place is wanted. Its next words may be on the way, and a close over them would be a
-    /// reset that takes the last ones away: it has a moment to read them, unless too many have.
+    /// Refuses a client whose slot is needed for another. The client's next bytes may be on the way, and
+    /// closing before they are read would be a reset that discards the refusal. The client therefore gets a
+    /// moment to read the refusal, unless too many evictions are in progress.
     fn evict(self: &Rc<Self>, core: &Rc<Core>, protocol: &Rc<dyn Protocol>, stream: TcpStream) {
-        if self.parting.get() >= PARTING {
+        if self.evicting.get() >= MAX_EVICTIONS {
             return refuse(&stream, &**protocol);
         }
-        self.parting.set(self.parting.get() + 1);
-        let (listener, core, words) = (self.clone(), core.clone(), protocol.refusal(Some(NO_ROOM)));
+        self.evicting.set(self.evicting.get() + 1);
+        let (listener, core, answer) = (self.clone(), core.clone(), protocol.refusal(Some(RETRY_AFTER_US)));
         core.host.clone().spawn(async move {
-            let until = core.now() + PARTING_TIME;
+            let deadline = core.now() + EVICTION_TIMEOUT_US;
             tokio::select! {
                 biased;
-                () = send_and_close(&core, stream, &words) => {}
-                () = core.deadlines.until(until) => {}
+                () = send_and_close(&core, stream, &answer) => {}
+                () = core.deadlines.until(deadline) => {}
             }
-            listener.parting.set(listener.parting.get() - 1);
+            listener.evicting.set(listener.evicting.get() - 1);
         });
     }
 }
 
-/// Reads lines until one opens a job. A client waits after that line: with anything behind it, it is none.
-async fn hear(protocol: &dyn Protocol, stream: &TcpStream) -> Heard {
+/// Reads lines until one is a request. A client waits for an answer after that line, so a request with
+/// further bytes behind it is invalid.
+async fn read_request(protocol: &dyn Protocol, stream: &TcpStream) -> Read {
     let mut received = Vec::new();
     loop {
         received = match read_line(stream, received).await {
             Ok(received) => received,
-            // Too long.
-            Err(e) if e.kind() == std::io::ErrorKind::InvalidData => return Heard::Wrong,
-            Err(_) => return Heard::Gone,
+            // The line is too long.
+            Err(e) if e.kind() == std::io::ErrorKind::InvalidData => return Read::Invalid,
+            Err(_) => return Read::Disconnected,
         };
-        let line = received.iter().position(|&byte| byte == b'\n').map_or(0, |at| at + 1);
-        if !received[..line].ends_with(b"\r\n") {
-            return Heard::Wrong;
+        let line_end = received.iter().position(|&byte| byte == b'\n').map_or(0, |at| at + 1);
+        if !received[..line_end].ends_with(b"\r\n") {
+            return Read::Invalid;
         }
         match protocol.parse_client_line(first_line(&received)) {
-            ClientMessage::Request(opening) if received.len() == line => return Heard::Job(opening),
+            ClientMessage::Request(request) if received.len() == line_end => return Read::Request(request),
             ClientMessage::Immediate(answer) => {
-                received.drain(..line);
+                received.drain(..line_end);
                 if write_all(stream, answer).await.is_err() {
-                    return Heard::Gone;
+                    return Read::Disconnected;
                 }
             }
-            ClientMessage::Request(_) | ClientMessage::Malformed => return Heard::Wrong,
+            ClientMessage::Request(_) | ClientMessage::Malformed => return Read::Invalid,
         }
     }
 }
