--- a/crates/proxy/src/upgrade.rs
+++ b/crates/proxy/src/upgrade.rs
@@ -390,10 +390,8 @@
     }
 
     /// Adopts a connection of the predecessor. Returns false if that is not possible.
-    fn adopt(&self, channel: &HandoverChannel, connection: HandoverRecord, relay_state: RelayState) -> bool {
-        let (Ok(client), Ok(backend)) = (channel.receive_stream(), channel.receive_stream()) else {
-            return false;
-        };
+    fn adopt(&self, peer: &HandoverChannel, connection: HandoverRecord, relay_state: RelayState) -> bool {
+        let (Ok(client), Ok(backend)) = (peer.receive_stream(), peer.receive_stream()) else { return false };
         let relay_state = relay_state.with_clock_offset(self.clock_offset.get());
         request_handler::adopt(
             &self.core,
