--- a/crates/proxy/src/protocol/mod.rs
+++ b/crates/proxy/src/protocol/mod.rs
@@ -1,70 +1,70 @@
-//! The front: what a protocol towards clients and backends has to provide.
+//! The interface that a protocol towards clients and backends implements.
 
 pub mod lines;
 
 use pierloom_decision::{BackendId, Micros, Request};
 
-/// What a backend says in one line.
+/// A line from a backend.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// The connection stands.
+    /// The connection is established.
     Up,
-    /// Served to its end.
+    /// The request was served to its end.
     Bye,
-    /// Sent away politely.
+    /// The client is asked to reconnect elsewhere.
     Move,
-    /// Failed; it may have run.
+    /// The request failed. The backend may have executed it.
     Error,
-    /// Turned away unseen.
+    /// The backend refused the request without processing it.
     Busy,
-    /// The connection's load now; microseconds of work a second.
+    /// The connection's current load, in microseconds of work per second.
     Load(f64),
-    /// The answer to a probe, with the report where it is on the same line.
+    /// The answer to a probe, with the load report if that is on the same line.
     Pong(Vec<f64>),
-    /// Anything else.
+    /// Any other line.
     Other,
 }
 
 /// A protocol between clients, this proxy and backends.
 pub trait Protocol {
-    /// Reads a client's first line.
+    /// Parses a line from a client that has not sent a request yet.
     fn parse_client_line(&self, line: &[u8]) -> ClientMessage;
-    /// Reads a line of a backend's.
+    /// Parses a line from a backend.
     fn parse_backend_line(&self, line: &[u8]) -> Reply;
-    /// Reads a load report on a line of its own.
+    /// Parses a load report on a line of its own.
     fn parse_load_report(&self, line: &[u8]) -> Vec<f64>;
-    /// Asks a backend for its load.
+    /// The line that asks a backend for its load.
     fn load_query(&self) -> &'static [u8];
-    /// The answer 'refused; come again after that time'.
-    fn refusal(&self, wait: Option<Micros>) -> Vec<u8>;
-    /// The answer 'failed'.
+    /// The answer that refuses a request, with the time after which the client may retry, if any.
+    fn refusal(&self, retry_after: Option<Micros>) -> Vec<u8>;
+    /// The answer that a request has failed.
     fn failure(&self) -> Vec<u8>;
-    /// The answer 'served to its end already'.
+    /// The answer that a request has already been served to its end.
     fn served(&self) -> &'static [u8];
-    /// Sends a client away whose connection stands.
+    /// The line that asks a client with an established connection to reconnect elsewhere.
     fn farewell(&self) -> &'static [u8];
 }
 
-/// A client's first line.
+/// A line from a client that has not sent a request yet.
 pub enum ClientMessage {
-    /// A job.
+    /// A request.
     Request(Box<dyn ClientRequest>),
-    /// Something else with its answer; another line may follow.
+    /// Another valid line, with the answer to it. Further lines may follow.
     Immediate(&'static [u8]),
-    /// Not understood.
+    /// A line that cannot be parsed.
     Malformed,
 }
 
-/// What opens a job.
+/// A request as a client sends it.
 pub trait ClientRequest {
-    /// What the module needs to know; its identity and deadline are the host's to set.
+    /// The request for the decision module. The caller sets its id and deadline.
     fn request(&self) -> Request;
-    /// What tells the job from all others.
+    /// The client's identifier of the request, which no other active request shares.
     fn identity(&self) -> &str;
-    /// How long the client waits for its answer.
+    /// How long the client waits for an answer.
     fn timeout(&self) -> Micros;
-    /// The backend that holds the connection already.
+    /// The backend that already holds the connection, if the client resumes one.
     fn resume_backend(&self) -> Option<BackendId>;
-    /// What a backend is sent, where this proxy waits so long for its answer.
-    fn encode_for_backend(&self, wait: Micros) -> Vec<u8>;
+    /// The line to send to a backend. `timeout` is how long this proxy waits for the backend's answer.
+    fn encode_for_backend(&self, timeout: Micros) -> Vec<u8>;
 }
