--- a/crates/proxy/src/protocol/lines.rs
+++ b/crates/proxy/src/protocol/lines.rs
@@ -134,8 +134,8 @@
 }
 
 impl LineProtocol {
-    /// Returns the values of a load report in the order of the settings. A column that the report lacks is 0. A
-    /// report that is empty or malformed gives no values.
+    /// Returns the values of a load report in the order of the settings. A column that the report lacks is 0.
+    /// An empty or malformed report gives no values.
     fn report_values(&self, text: &str) -> Vec<f64> {
         let Ok(report) = load_report.parse(text) else { return Vec::new() };
         let value = |column: &String| report.iter().find(|(name, _)| name == column).map(|&(_, value)| value);
--- a/crates/proxy/src/source/discovery.rs
+++ b/crates/proxy/src/source/discovery.rs
@@ -83,7 +83,8 @@
     Unreadable(IgnoredAny),
 }
 
-/// A response of discovery, with its valid entries separated from the invalid ones.
+/// A response of discovery, with its valid entries separated from the invalid ones. The initial endpoints in
+/// the config file have the same form.
 #[derive(Deserialize, Default)]
 #[serde(from = "RawResponse")]
 pub struct EndpointsResponse {
