--- a/crates/decision/tests/failures.rs
+++ b/crates/decision/tests/failures.rs
@@ -1,44 +1,52 @@
-//! One test for each failure found; what each guards against is said at the code that answers it.
+//! Regression tests: one test for each failure that was found.
 
 mod common;
 use common::*;
 use pierloom_decision::*;
 use std::collections::{BTreeMap, BTreeSet};
 
+const TIMER_ADMISSION: u64 = 0;
 const TIMER_HELD_REQUESTS: u64 = 1;
+const TIMER_SUBSCRIBE: u64 = 2;
+const TIMER_PROBES: u64 = 4;
 
+/// Guards against new connections at a backend whose messages are late already.
 #[test]
-fn a_slow_backend_is_spared_and_one_connection_moves() {
+fn a_slow_backend_gets_nothing_new_and_one_connection_is_moved() {
     let mut d = Driver::new(settings(), 4);
-    let held: Vec<(u64, BackendId)> = (1..200).map(|id| (id, d.connect(id))).collect();
-    let slow = held[0].1.clone();
+    let connections: Vec<(u64, BackendId)> = (1..200).map(|id| (id, d.connect(id))).collect();
+    let slow = connections[0].1.clone();
     let out = d.event(Event::Measured(1, Measurement::Delay(90 * MS)));
     let moved: Vec<_> = out.iter().filter(|a| matches!(a, Action::Move(_))).collect();
-    assert_eq!(moved.len(), 1, "we hold enough there to move one for certain");
+    assert_eq!(moved.len(), 1, "with this many connections there, one move is certain");
     for id in 300..340 {
         assert_ne!(d.connect(id), slow);
     }
 }
 
+/// Guards against backends that stay slow because clients that were moved are placed again at once, while all
+/// backends are slow.
 #[test]
-fn under_general_slowness_load_is_shed_and_held_back() {
+fn when_all_backends_are_slow_connections_move_and_their_clients_are_held() {
     let mut d = Driver::new(settings(), 4);
-    let held: BTreeMap<BackendId, u64> = (1..200).map(|id| (d.connect(id), id)).collect();
+    let connections: BTreeMap<BackendId, u64> = (1..200).map(|id| (d.connect(id), id)).collect();
     for _ in 0..3 {
-        for id in held.values() {
+        for id in connections.values() {
             let out = d.event(Event::Measured(*id, Measurement::Delay(90 * MS)));
             assert_eq!(out.iter().filter(|a| matches!(a, Action::Move(_))).count(), 1);
         }
         d.now += S;
     }
-    let late = d.now + 30 * S;
-    let back = d.request_with(Request { id: 500, reconnecting: true, deadline: late, ..Request::default() });
-    assert!(sent(&back).is_none() && !refused(&back), "held while every backend is over its ceiling");
-    assert!(refused(&d.request(501)), "with 2 s to its deadline it is answered at once");
+    let far_deadline = d.now + 30 * S;
+    let out =
+        d.request_with(Request { id: 500, reconnecting: true, deadline: far_deadline, ..Request::default() });
+    assert!(sent(&out).is_none() && !refused(&out), "held while every backend is over its load limit");
+    assert!(refused(&d.request(501)), "a request with 2 s to its deadline is answered at once");
 }
 
+/// Guards against a storm of moves off a slow backend by proxies that each have few connections there.
 #[test]
-fn where_we_hold_few_we_move_few() {
+fn a_proxy_with_few_connections_at_a_slow_backend_moves_few() {
     let mut d = Driver::new(settings(), 4);
     let id = 1;
     d.connect(id);
@@ -47,11 +55,13 @@
         moves += d.event(Event::Measured(id, Measurement::Delay(90 * MS))).len();
         d.now += S;
     }
-    assert!((1..=30).contains(&moves), "about six in a hundred notes: {moves}");
+    assert!((1..=30).contains(&moves), "about six moves in a hundred measurements: {moves}");
 }
 
+/// Guards against requests that are sent to a dead backend one after the other: between two attempts there is
+/// a gap.
 #[test]
-fn a_dead_backend_gets_one_trial_at_a_time_and_is_cold_on_return() {
+fn a_backend_that_fails_gets_one_attempt_at_a_time() {
     let mut d = Driver::new(settings(), 3);
     let mut dead = None;
     let mut sends = 0;
@@ -67,64 +77,71 @@
         }
         d.now += 10 * MS;
     }
-    assert!((3..=6).contains(&sends), "two failures, then spaced trials: {sends} in 3 s");
+    assert!((3..=6).contains(&sends), "two failures, then attempts with gaps: {sends} in 3 s");
 }
 
+/// Guards against new connections at an overloaded backend that resets them, and against a backend that is
+/// never used again after that.
 #[test]
-fn a_backend_that_sheds_is_spared_for_a_while_only() {
+fn a_backend_that_reset_a_connection_gets_nothing_new_for_a_limited_time() {
     let mut d = Driver::new(settings(), 3);
-    let mut by: BTreeMap<BackendId, Vec<u64>> = BTreeMap::new();
+    let mut ids_by_backend: BTreeMap<BackendId, Vec<u64>> = BTreeMap::new();
     for id in 1..60 {
-        by.entry(d.connect(id)).or_default().push(id);
+        ids_by_backend.entry(d.connect(id)).or_default().push(id);
     }
-    let (busy, shed) = by.pop_first().unwrap();
-    d.ended(shed[0], 0, Status::Reset, true);
-    let met: BTreeSet<BackendId> = (100..120).map(|id| d.connect(id)).collect();
-    assert!(!met.contains(&busy), "over its ceiling of 0.6 of what it shed at");
+    let (busy, ids) = ids_by_backend.pop_first().unwrap();
+    d.ended(ids[0], 0, Status::Reset, true);
+    let used: BTreeSet<BackendId> = (100..120).map(|id| d.connect(id)).collect();
+    assert!(!used.contains(&busy), "over its load limit, 0.6 of the load at which it reset a connection");
     d.now += 20 * S;
-    let met: BTreeSet<BackendId> = (200..240).map(|id| d.connect(id)).collect();
-    assert!(met.contains(&busy));
+    let used: BTreeSet<BackendId> = (200..240).map(|id| d.connect(id)).collect();
+    assert!(used.contains(&busy));
 }
 
+/// Guards against a backend that never gets a connection again: twenty cuts leave 0.6^20 of the load as its
+/// limit. If the limit grew by a twentieth of that a second only, it would never get back to the load.
 #[test]
-fn a_ceiling_is_forgotten_however_often_it_was_cut() {
+fn a_load_limit_is_forgotten_however_often_it_was_lowered() {
     let mut d = Driver::new(settings(), 2);
-    let held: BTreeMap<BackendId, u64> = (1..40).map(|id| (d.connect(id), id)).collect();
-    let slow = held.keys().next().unwrap().clone();
+    let connections: BTreeMap<BackendId, u64> = (1..40).map(|id| (d.connect(id), id)).collect();
+    let slow = connections.keys().next().unwrap().clone();
     for _ in 0..20 {
-        d.event(Event::Measured(held[&slow], Measurement::Delay(90 * MS)));
+        d.event(Event::Measured(connections[&slow], Measurement::Delay(90 * MS)));
         d.now += S;
     }
-    // Twenty cuts leave 0.6^20 of the load: growth by a twentieth of that a second would never lead back.
     d.now += 5 * S;
-    let met: BTreeSet<BackendId> = (100..120).map(|id| d.connect(id)).collect();
-    assert!(!met.contains(&slow), "still closed some seconds after the last slow note");
+    let used: BTreeSet<BackendId> = (100..120).map(|id| d.connect(id)).collect();
+    assert!(!used.contains(&slow), "still over its load limit some seconds after the last slow message");
     d.now += 25 * S + 1;
-    let met: BTreeSet<BackendId> = (200..220).map(|id| d.connect(id)).collect();
-    assert!(met.contains(&slow), "forgotten 30 s after the last cut");
+    let used: BTreeSet<BackendId> = (200..220).map(|id| d.connect(id)).collect();
+    assert!(used.contains(&slow), "the load limit is forgotten 30 s after it was last lowered");
 }
 
-/// The wait that a refusal states.
-fn told(out: &[Action]) -> Option<Micros> {
+/// Time after which the client should retry, as the refusal states it.
+fn retry_after(out: &[Action]) -> Option<Micros> {
     out.iter().find_map(|a| if let Action::Refuse { retry_after, .. } = a { *retry_after } else { None })
 }
 
+/// Guards against a request that is held although no backend will be available before its deadline.
 #[test]
-fn where_no_backend_can_be_expected_the_answer_comes_at_once() {
+fn a_request_is_refused_at_once_when_no_backend_will_be_available_in_time() {
     let s = Settings { retry_after: true, max_retry_after: 600 * MS, ..settings() };
     let mut d = Driver::new(s, 0);
     let out = d.request(1);
-    assert!(refused(&out) && out.len() == 1, "nothing to wait for: {out:?}");
-    assert_eq!(told(&out), Some(600 * MS), "within the longest wait that clients honour");
-    // Every backend slow for 3 s, a deadline in 2 s: the end of the slow spell would come too late.
+    assert!(refused(&out) && out.len() == 1, "there is no backend to wait for: {out:?}");
+    assert_eq!(retry_after(&out), Some(600 * MS), "the longest time that clients wait");
+    // Every backend counts as slow for 3 s, and the deadline is in 2 s, so that holding the request is
+    // useless.
     d.list(ListKind::Full, members(2));
-    let held: BTreeMap<BackendId, u64> = (10..20).map(|id| (d.connect(id), id)).collect();
-    held.values().for_each(|id| drop(d.event(Event::Measured(*id, Measurement::Delay(90 * MS)))));
+    let connections: BTreeMap<BackendId, u64> = (10..20).map(|id| (d.connect(id), id)).collect();
+    connections.values().for_each(|id| drop(d.event(Event::Measured(*id, Measurement::Delay(90 * MS)))));
     assert!(refused(&d.request(2)));
 }
 
+/// Guards against a request that is held until it is too late for an attempt, and against clients that stay
+/// away long after several quick refusals.
 #[test]
-fn a_request_is_held_only_for_an_event_that_is_due_in_time() {
+fn a_request_is_held_only_when_a_backend_will_be_available_in_time() {
     let s = Settings { retry_after: true, max_retry_after: 5 * S, ..settings() };
     let mut d = Driver::new(s, 1);
     d.connect(1);
@@ -136,233 +153,262 @@
     assert_eq!(
         out,
         [Action::Timer(2 * S, TIMER_HELD_REQUESTS)],
-        "the slow spell ends in 2 s, a connect time-out before the end"
+        "the backend counts as slow for 2 s more, which leaves one connect timeout"
     );
     let out = d.request_with(Request { id: 3, deadline: until - 1, ..Request::default() });
-    assert_eq!(told(&out), Some(2 * S), "a moment too late: told when room is expected");
+    assert_eq!(retry_after(&out), Some(2 * S), "one microsecond short: refused with the time to wait");
     d.now += 2 * S;
     assert!(sent(&d.event(Event::Timer(TIMER_HELD_REQUESTS))).is_some());
 }
 
-/// Where a client that comes back is sent by fresh relays, of which none knows its first entry.
-fn met_on_return(known: bool) -> BTreeMap<BackendId, usize> {
-    let mut met = BTreeMap::new();
+/// Backends to which 64 new proxies send a reconnecting client, with the number of proxies. If `connected`,
+/// each proxy has established a connection for the client's key before.
+fn backends_after_reconnect(connected: bool) -> BTreeMap<BackendId, usize> {
+    let mut counts = BTreeMap::new();
     for seed in 0..64 {
         let mut d = Driver { balancer: Balancer::new(settings(), seed).unwrap(), now: 100 * S };
         d.list(ListKind::Full, members(100));
-        if known {
+        if connected {
             d.request_with(Request { id: 1, key: Some(9), ..Request::default() });
             d.established(1, 0, MS);
         }
-        let back = Request { id: 2, key: Some(9), reconnecting: true, ..Request::default() };
-        *met.entry(sent(&d.request_with(back)).unwrap()).or_default() += 1;
+        let request = Request { id: 2, key: Some(9), reconnecting: true, ..Request::default() };
+        *counts.entry(sent(&d.request_with(request)).unwrap()).or_default() += 1;
     }
-    met
+    counts
 }
 
+/// Guards against a client that reconnects to the same overloaded backend again and again through proxies
+/// that do not know of the overload.
 #[test]
-fn a_client_that_comes_back_to_relays_that_know_nothing_is_spread() {
-    let met = met_on_return(false);
-    // Half stay with the first entry, a quarter takes the second, and so on.
-    let most = met.values().max().unwrap();
-    assert!((20..=44).contains(most) && met.len() >= 4, "{met:?}");
+fn a_client_that_reconnects_through_proxies_without_connections_is_spread() {
+    let counts = backends_after_reconnect(false);
+    // Half of the proxies take the first table entry of the key, a quarter the second, and so on.
+    let most = counts.values().max().unwrap();
+    assert!((20..=44).contains(most) && counts.len() >= 4, "{counts:?}");
 }
 
+/// Guards against clients that are spread over other backends although the proxy's own connections show that
+/// their backend is healthy.
 #[test]
-fn a_client_that_comes_back_keeps_to_a_backend_that_is_vouched_for() {
-    let met = met_on_return(true);
-    assert!(met.len() <= 2, "the pair, as we hold a connection there and heard nothing bad: {met:?}");
+fn a_client_that_reconnects_stays_with_a_backend_confirmed_healthy_by_own_connections() {
+    let counts = backends_after_reconnect(true);
+    assert!(
+        counts.len() <= 2,
+        "the pair of the key, as the proxy has a working connection there: {counts:?}"
+    );
 }
 
+/// Guards against new connections at a slow backend where this proxy has too few connections for a load limit
+/// to take effect.
 #[test]
-fn a_slow_note_closes_a_backend_where_we_hold_few() {
+fn a_slow_message_excludes_a_backend_with_few_connections_for_three_seconds() {
     let mut d = Driver::new(settings(), 12);
-    let key = |id| Request { id, key: Some(9), ..Request::default() };
-    let slow = sent(&d.request_with(key(1))).unwrap();
+    let with_key = |id| Request { id, key: Some(9), ..Request::default() };
+    let slow = sent(&d.request_with(with_key(1))).unwrap();
     d.established(1, 0, MS);
     d.event(Event::Measured(1, Measurement::Delay(90 * MS)));
     d.ended(1, 0, Status::Cancelled, true);
     assert_ne!(
-        sent(&d.request_with(key(2))),
+        sent(&d.request_with(with_key(2))),
         Some(slow.clone()),
-        "we hold nothing there: a ceiling says nothing"
+        "without connections there, a load limit has no effect"
     );
     d.ended(2, 0, Status::ConnectFailed, true);
     d.now += 3 * S;
-    assert_eq!(sent(&d.request_with(key(3))), Some(slow), "open again 3 s after the last note");
+    assert_eq!(sent(&d.request_with(with_key(3))), Some(slow), "used again 3 s after the last slow message");
 }
 
+/// Guards against requests that are held although most of the 40 backends may be fast: the proxy has
+/// connections at three backends only, and all three are slow.
 #[test]
-fn few_slow_backends_are_no_strain() {
+fn few_slow_backends_do_not_count_as_a_slow_fleet() {
     let mut d = Driver::new(settings(), 40);
-    let held: BTreeMap<BackendId, u64> = (1..4).map(|id| (d.connect(id), id)).collect();
-    for id in held.values() {
+    let connections: BTreeMap<BackendId, u64> = (1..4).map(|id| (d.connect(id), id)).collect();
+    for id in connections.values() {
         d.event(Event::Measured(*id, Measurement::Delay(90 * MS)));
     }
-    assert!((100..110).all(|id| sent(&d.request(id)).is_some()), "three of three may be chance");
+    assert!(
+        (100..110).all(|id| sent(&d.request(id)).is_some()),
+        "three slow backends of three may be chance"
+    );
 }
 
-/// A relay that may probe, told of `n` backends.
-fn prober(n: usize) -> Driver {
+/// A balancer that gets load reports from probes, with `n` backends.
+fn probing_driver(n: usize) -> Driver {
     Driver::new(Settings { load_report: Some(1), ..settings() }, n)
 }
 
+/// The backends that the actions probe.
 fn probed(out: &[Action]) -> Vec<BackendId> {
     let probe = |a: &Action| if let Action::Probe(b) = a { Some(b.clone()) } else { None };
     out.iter().filter_map(probe).collect()
 }
 
+/// Delivers the result of a probe, with this load.
 fn report(d: &mut Driver, backend: &BackendId, status: Status, load: f64) -> Vec<Action> {
     d.event(Event::Probed { backend: backend.clone(), status, report: vec![0.0, load] })
 }
 
+/// Guards against a request that is sent to a backend at capacity although a probe would have shown it.
 #[test]
-fn the_chosen_backend_is_asked_first_and_a_full_one_passed_over() {
-    let mut d = prober(12);
+fn the_chosen_backend_is_probed_first_and_skipped_if_at_capacity() {
+    let mut d = probing_driver(12);
     let out = d.request(1);
     assert!(sent(&out).is_none());
     let first = probed(&out).pop().unwrap();
     let out = report(&mut d, &first, Status::Ok, 0.9);
-    let second = probed(&out).pop().expect("the next entry is asked");
+    let second = probed(&out).pop().expect("the next table entry is probed");
     assert_ne!(first, second);
     assert_eq!(sent(&report(&mut d, &second, Status::Ok, 0.3)), Some(second.clone()));
-    // A report is good for a second: no new probe before that.
+    // A report is used for a second. No new probe is sent before that.
     assert!(probed(&d.request_with(Request { id: 2, key: Some(1), ..Request::default() })).is_empty());
     d.now += S;
     assert_eq!(probed(&d.request_with(Request { id: 3, key: Some(1), ..Request::default() })).len(), 1);
 }
 
+/// Guards against requests that wait long, or past their deadline, for a probe that is not answered.
 #[test]
-fn a_silent_probe_holds_a_request_no_longer_than_a_connect_would() {
-    let mut d = prober(12);
+fn an_unanswered_probe_holds_a_request_for_at_most_the_connect_timeout() {
+    let mut d = probing_driver(12);
     let out = d.request(1);
     assert!(sent(&out).is_none() && out.contains(&Action::Timer(250 * MS, TIMER_HELD_REQUESTS)));
     d.now += 125 * MS;
-    assert!(sent(&d.event(Event::Timer(TIMER_HELD_REQUESTS))).is_none(), "still waiting");
+    assert!(sent(&d.event(Event::Timer(TIMER_HELD_REQUESTS))).is_none(), "the request still waits");
     d.now += 125 * MS;
     assert!(sent(&d.event(Event::Timer(TIMER_HELD_REQUESTS))).is_some());
-    // Near its deadline a request does not wait at all.
-    let late = Request { id: 2, key: Some(77), deadline: d.now + 400 * MS, ..Request::default() };
-    assert!(sent(&d.request_with(late)).is_some());
+    // A request close to its deadline does not wait at all.
+    let urgent = Request { id: 2, key: Some(77), deadline: d.now + 400 * MS, ..Request::default() };
+    assert!(sent(&d.request_with(urgent)).is_some());
 }
 
+/// Guards against a backend that is avoided, or preferred, because its probe failed.
 #[test]
-fn a_failed_probe_says_only_that_probing_failed() {
+fn a_failed_probe_counts_neither_as_a_failed_backend_nor_as_no_load() {
     for status in [Status::Error, Status::Timeout] {
-        let mut d = prober(12);
-        let of = |id| Request { id, key: Some(1), ..Request::default() };
-        let first = probed(&d.request_with(of(1))).pop().unwrap();
-        // It goes where it would go without probes, and no failure is booked for that.
+        let mut d = probing_driver(12);
+        let with_key = |id| Request { id, key: Some(1), ..Request::default() };
+        let first = probed(&d.request_with(with_key(1))).pop().unwrap();
+        // The request goes where it would go without probes. The failed probe does not count as a failure of
+        // the backend.
         assert_eq!(sent(&report(&mut d, &first, status, 0.0)), Some(first.clone()), "{status:?}");
         d.established(1, 0, MS);
-        // Not read as an empty backend: the second entry, which reports some room, holds less of ours.
-        let second = probed(&d.request_with(of(2))).pop().unwrap();
+        // The first backend does not count as idle. The second table entry, which reports spare capacity, has
+        // fewer connections of this proxy.
+        let second = probed(&d.request_with(with_key(2))).pop().unwrap();
         assert_ne!(first, second);
         assert_eq!(sent(&report(&mut d, &second, Status::Ok, 0.5)), Some(second));
     }
 }
 
+/// Guards against requests that each wait for a probe while probes fail at backends that serve requests.
 #[test]
-fn where_probing_fails_though_we_are_served_no_request_waits_for_it() {
-    let mut d = prober(4);
+fn no_request_waits_for_probes_that_fail_at_backends_that_serve_requests() {
+    let mut d = probing_driver(4);
     let mut waited = 0;
     for id in 1..60 {
         let mut out = d.request(id);
         if sent(&out).is_none() {
             waited += 1;
-            let asked = probed(&out).pop().unwrap();
+            let backend = probed(&out).pop().unwrap();
             d.now += 200 * MS;
-            out = report(&mut d, &asked, Status::Timeout, 0.0);
+            out = report(&mut d, &backend, Status::Timeout, 0.0);
         } else {
-            probed(&out).iter().for_each(|asked| drop(report(&mut d, asked, Status::Timeout, 0.0)));
+            probed(&out).iter().for_each(|backend| drop(report(&mut d, backend, Status::Timeout, 0.0)));
         }
         assert!(sent(&out).is_some());
         d.established(id, 0, MS);
         d.now += S;
     }
-    assert!(waited <= 8, "{waited}: each backend once before it serves us, then three");
+    assert!(waited <= 8, "{waited}: each backend once before it has served a request, then three");
 }
 
+/// Guards against a hot key that overloads the two backends of its table entries.
 #[test]
-fn a_swollen_key_spills_over_once_its_pair_is_slow() {
+fn a_hot_key_uses_further_backends_when_its_pair_is_slow() {
     let mut d = Driver::new(settings(), 12);
-    let hot = |id| Request { id, key: Some(9), ..Request::default() };
-    let mut met = BTreeSet::new();
+    let with_hot_key = |id| Request { id, key: Some(9), ..Request::default() };
+    let mut used = BTreeSet::new();
     for id in 1..60 {
-        met.extend(sent(&d.request_with(hot(id))));
+        used.extend(sent(&d.request_with(with_hot_key(id))));
         d.established(id, 0, MS);
         if id == 30 {
             (1..=30).for_each(|id| drop(d.event(Event::Measured(id, Measurement::Delay(90 * MS)))));
         }
     }
-    assert!(met.len() > 2, "the pair alone would go on filling");
+    assert!(used.len() > 2, "otherwise the pair of the key alone would keep filling");
 }
 
+/// Guards against a failure of many backends that retries multiply.
 #[test]
-fn attempts_are_bounded_under_wide_failure() {
+fn attempts_are_limited_when_all_backends_fail() {
     let mut d = Driver::new(Settings { max_attempts: 6, ..settings() }, 30);
-    let mut all = 0;
+    let mut total = 0;
     for id in 1..=200 {
         let (mut out, mut attempts) = (d.request(id), 0);
         while sent(&out).is_some() {
             attempts += 1;
             out = d.ended(id, attempts - 1, Status::ConnectFailed, false);
         }
-        assert!(id > 1 || attempts == 6, "one request may use what is saved at the start");
+        assert!(id > 1 || attempts == 6, "the first request may use all free retries");
         assert!(attempts <= 6, "{attempts}");
-        all += attempts;
+        total += attempts;
         d.now += 100 * MS;
     }
-    // Four spans of 5 s: a request each, half a further one each, and six free in each span.
-    assert!(all <= 200 + 100 + 24, "{all}");
+    // Over four windows of 5 s: one attempt a request, half a retry a request, and six free retries a window.
+    assert!(total <= 200 + 100 + 24, "{total}");
 }
 
+/// Guards against more retries than the settings allow, and against a request that waits for the next window.
 #[test]
-fn a_stated_budget_binds_from_the_start_and_its_end_is_answered_at_once() {
+fn a_retry_budget_applies_from_the_start_and_a_request_beyond_it_is_refused_at_once() {
     let budget = Some(RetryBudget { min_retries: 2.0, ratio: 0.1, window: 5 * S });
     let mut d = Driver::new(Settings { max_attempts: 6, budget, ..settings() }, 30);
-    let tries = |d: &mut Driver, id| {
+    let retries = |d: &mut Driver, id| {
         let (mut out, mut attempts) = (d.request(id), 0);
         while sent(&out).is_some() {
             attempts += 1;
             out = d.ended(id, attempts - 1, Status::ConnectFailed, false);
         }
-        assert!(refused(&out), "answered at once");
+        assert!(refused(&out), "the request is answered at once");
         attempts - 1
     };
-    let first: Vec<u32> = (1..=12).map(|id| tries(&mut d, id)).collect();
-    // Two are free; ten requests earn a third. A bucket full at the start would give more.
+    let first: Vec<u32> = (1..=12).map(|id| retries(&mut d, id)).collect();
+    // Two retries are free, and ten requests allow a third. A token bucket that is full at the start would
+    // allow more.
     assert_eq!(first.iter().sum::<u32>(), 3, "{first:?}");
     assert_eq!(first[0], 2);
     d.now += 5 * S + 1;
-    assert_eq!(tries(&mut d, 20), 2, "a span later what was spent and earned is forgotten");
+    assert_eq!(retries(&mut d, 20), 2, "retries and requests of the previous window no longer count");
 }
 
+/// Guards against a key whose requests are scattered over many backends while all of them are loaded much
+/// alike.
 #[test]
-fn a_group_stays_together_where_no_entry_is_roomy() {
-    let mut d = prober(12);
-    let of = |id| Request { id, key: Some(1), ..Request::default() };
-    // Every entry is asked for 0.9 of what it can do, the first one for a little more.
-    let first = probed(&d.request_with(of(1))).pop().unwrap();
+fn requests_with_one_key_stay_together_when_no_backend_is_lightly_loaded() {
+    let mut d = probing_driver(12);
+    let with_key = |id| Request { id, key: Some(1), ..Request::default() };
+    // Every backend reports a load of 0.9 of its capacity, the first one a little more.
+    let first = probed(&d.request_with(with_key(1))).pop().unwrap();
     let mut out = report(&mut d, &first, Status::Ok, 0.95);
     while let Some(next) = probed(&out).pop() {
         out = report(&mut d, &next, Status::Ok, 0.9);
     }
-    assert_eq!(sent(&out), Some(first), "not the least full of eight");
+    assert_eq!(sent(&out), Some(first), "not the least loaded of eight");
     for m in members(12) {
         report(&mut d, &m.backend.clone(), Status::Ok, 1.1);
     }
-    let out = d.request_with(of(3));
+    let out = d.request_with(with_key(3));
     assert!(
         sent(&out).is_none() && !refused(&out),
-        "held while every entry is asked for more than it can do"
+        "held while every backend reports more load than its capacity"
     );
 }
 
-/// Several hundred relays against one cold backend that a hot key leads to: what they send it in any
-/// window, at most.
+/// Guards against a backend in slow start that several hundred proxies overload together: a hot key leads all
+/// of them to that backend.
 #[test]
-fn hundreds_of_relays_together_keep_to_the_cold_budget() {
+fn three_hundred_proxies_together_keep_the_slow_start_limit_of_a_backend() {
     let s = Settings {
         proxies: 300,
         slow_start_duration: 10 * S,
@@ -371,77 +417,84 @@
         overload_window: S,
         ..settings()
     };
-    let mut cold = members(3)[0].clone();
-    cold.started = 150 * S;
-    let relay = |seed| {
+    let mut restarted = members(3)[0].clone();
+    restarted.started = 150 * S;
+    let proxy = |seed| {
         let mut d = Driver { balancer: Balancer::new(s.clone(), seed).unwrap(), now: 100 * S };
         d.list(ListKind::Full, members(3));
         d
     };
-    let mut relays: Vec<Driver> = (0..300).map(relay).collect();
-    // 30 a second over all relays, ten a second to one backend, for ten ticks.
+    let mut proxies: Vec<Driver> = (0..300).map(proxy).collect();
+    // 30 requests a second at all proxies together, ten a second at each backend, for ten admission ticks.
     for k in 0..600_u64 {
-        for d in &mut relays {
+        for d in &mut proxies {
             d.now = 100 * S + k * 33 * MS;
         }
-        let d = &mut relays[(k % 300) as usize];
+        let d = &mut proxies[(k % 300) as usize];
         d.connect(k);
         d.ended(k, 0, Status::Ok, true);
         if k % 60 == 59 {
-            relays.iter_mut().for_each(|d| drop(d.event(Event::Timer(0))));
+            proxies.iter_mut().for_each(|d| drop(d.event(Event::Timer(TIMER_ADMISSION))));
         }
     }
     let mut times = Vec::new();
-    for d in &mut relays {
+    for d in &mut proxies {
         d.now = 150 * S;
-        d.list(ListKind::Delta, vec![cold.clone()]);
+        d.list(ListKind::Delta, vec![restarted.clone()]);
     }
-    // It stays idle for two seconds, then every relay is asked for the same hot key five times in two seconds.
+    // The backend gets nothing for two seconds. Then each proxy gets five requests with one hot key in two
+    // seconds.
     for k in 0..1_500_u64 {
-        let d = &mut relays[(k % 300) as usize];
+        let d = &mut proxies[(k % 300) as usize];
         d.now = 152 * S + k * 1_333;
-        let hot = Request { id: 10_000 + k, key: Some(4), ..Request::default() };
-        if sent(&d.request_with(hot)) == Some(cold.backend.clone()) {
+        let request = Request { id: 10_000 + k, key: Some(4), ..Request::default() };
+        if sent(&d.request_with(request)) == Some(restarted.backend.clone()) {
             times.push(d.now);
         }
     }
-    // Ten a second while warm, a sure share of 0.36 to 0.52 of that, twice that in a window of a second.
+    // The ramped-up backend got ten connections a second. In slow start its sure share is 0.36 to 0.52 of
+    // that. It may get twice that share in a window of a second.
     let window = |from: &Micros| times.iter().filter(|&t| (*from..from + S).contains(t)).count();
     let most = times.iter().map(window).max().unwrap_or(0);
-    assert!(most <= 12, "{most} in a window: whole tokens saved by each would have been hundreds");
+    assert!(most <= 12, "{most} in a window; one saved token at each proxy would allow hundreds");
 }
 
+/// Guards against a key whose requests are scattered over more than its two backends although both are
+/// healthy.
 #[test]
-fn a_sound_pair_decides_alone_in_a_large_fleet() {
+fn requests_with_one_key_use_two_healthy_backends_of_many() {
     let mut d = Driver::new(settings(), 150);
     let first = d.connect(1);
-    let key = |id| Request { id, key: Some(1), ..Request::default() };
-    let second = sent(&d.request_with(key(2))).unwrap();
+    let with_key = |id| Request { id, key: Some(1), ..Request::default() };
+    let second = sent(&d.request_with(with_key(2))).unwrap();
     d.established(2, 0, MS);
     for id in 3..40 {
-        let backend = sent(&d.request_with(key(id))).unwrap();
+        let backend = sent(&d.request_with(with_key(id))).unwrap();
         assert!(backend == first || backend == second);
         d.established(id, 0, MS);
     }
 }
 
+/// Guards against a group that is scattered over many backends, each of which then does the group's shared
+/// work.
 #[test]
-fn a_group_stays_together() {
+fn a_group_uses_at_most_two_backends() {
     let mut d = Driver::new(Settings { groups: true, ..settings() }, 12);
     (100..400).for_each(|id| {
         d.connect(id);
     });
-    let member = |id| Request { id, key: Some(id), group: Some(5), ..Request::default() };
-    let mut met = BTreeSet::new();
+    let in_group = |id| Request { id, key: Some(id), group: Some(5), ..Request::default() };
+    let mut used = BTreeSet::new();
     for id in 1..9 {
-        met.extend(sent(&d.request_with(member(id))));
+        used.extend(sent(&d.request_with(in_group(id))));
         d.established(id, 0, MS);
     }
-    assert!(met.len() <= 2, "each backend that holds any of a group pays for it: {met:?}");
+    assert!(used.len() <= 2, "each backend with connections of the group does its shared work: {used:?}");
 }
 
+/// Guards against a backend with one heavy connection that gets as many connections as one with light ones.
 #[test]
-fn loads_count_rather_than_connections() {
+fn a_backend_is_chosen_by_load_and_not_by_number_of_connections() {
     let mut d = Driver::new(settings(), 2);
     let heavy = d.connect(1);
     d.event(Event::Measured(1, Measurement::Load(900.0)));
@@ -455,9 +508,10 @@
     }
 }
 
+/// Guards against attempts that cross zones as often as they stay, although crossing has a price.
 #[test]
-fn crossing_zones_is_avoided_where_it_costs() {
-    let near_of_200 = |price| {
+fn fewer_attempts_cross_zones_when_crossing_has_a_price() {
+    let near_count_of_200 = |price| {
         let mut d = Driver::new(Settings { cross_zone_price: price, ..settings() }, 0);
         let mut list = members(8);
         list.iter_mut().enumerate().for_each(|(i, m)| m.zone = (i % 2) as u16);
@@ -465,26 +519,33 @@
         let near = |b: BackendId| list.iter().any(|m| m.backend == b && m.zone == 0);
         (1..=200).filter(|&id| near(d.connect(id))).count()
     };
-    let (free, dear) = (near_of_200(0.0), near_of_200(0.1));
-    assert!((90..=110).contains(&free), "{free}");
-    assert!((115..=140).contains(&dear), "a far backend counts half again as full: {dear}");
+    let (without_price, with_price) = (near_count_of_200(0.0), near_count_of_200(0.1));
+    assert!((90..=110).contains(&without_price), "{without_price}");
+    assert!(
+        (115..=140).contains(&with_price),
+        "the load of a backend in the other zone counts half as much again: {with_price}"
+    );
 }
 
+/// Guards against discovery that is overloaded by calls of all proxies at once: all of them start or fail at
+/// the same time.
 #[test]
-fn list_calls_are_spread_over_the_relays_and_double_in_vain() {
-    let gap = |relays, failures| -> Micros {
+fn calls_to_discovery_have_random_gaps_that_double_with_each_failure() {
+    let longest_gap = |proxy_count, failures| -> Micros {
         let mut longest = 0;
         for seed in 0..50 {
-            let s = Settings { ask_for_list: true, ask_within: 10 * S, proxies: relays, ..settings() };
+            let s = Settings { ask_for_list: true, ask_within: 10 * S, proxies: proxy_count, ..settings() };
             let mut d = Driver { balancer: Balancer::new(s, seed).unwrap(), now: 100 * S };
             let mut out = d.list(ListKind::Full, members(2));
             for n in 0..=failures {
-                let ask = |a: &Action| matches!(a, Action::Timer(_, 2));
-                let Some(Action::Timer(gap, token)) = out.iter().find(|a| ask(a)).cloned() else { panic!() };
+                let is_subscribe = |a: &Action| matches!(a, Action::Timer(_, TIMER_SUBSCRIBE));
+                let Some(Action::Timer(gap, token)) = out.iter().find(|a| is_subscribe(a)).cloned() else {
+                    panic!()
+                };
                 if n == failures {
                     longest = longest.max(gap);
                 }
-                assert!(d.list(ListKind::Failed, Vec::new()).is_empty(), "one renewal at a time");
+                assert!(d.list(ListKind::Failed, Vec::new()).is_empty(), "one call is scheduled at a time");
                 d.now += gap;
                 assert_eq!(d.event(Event::Timer(token)), [Action::Subscribe]);
                 out = d.list(ListKind::Failed, Vec::new());
@@ -492,35 +553,39 @@
         }
         longest
     };
-    // 20 ms a relay, doubled with each call in vain. Never over two seconds: news binds six seconds after it could be
-    // had, and the call that failed and the next one take up to 3.5 s of them.
-    assert!((30 * MS..=40 * MS).contains(&gap(2, 0)));
-    assert!((65 * MS..=80 * MS).contains(&gap(2, 2)));
-    assert!((1_700 * MS..=2 * S).contains(&gap(100, 0)));
-    assert!((1_700 * MS..=2 * S).contains(&gap(100, 2)));
-    assert!((1_700 * MS..=2 * S).contains(&gap(400, 3)));
-    assert!((540 * MS..=640 * MS).contains(&gap(2, 12)));
+    // 20 ms for each proxy, doubled with each failed call, and at most two seconds. An update must be obeyed
+    // six seconds after discovery could have reported it, and the failed call and the next one take up to 3.5
+    // s of them.
+    assert!((30 * MS..=40 * MS).contains(&longest_gap(2, 0)));
+    assert!((65 * MS..=80 * MS).contains(&longest_gap(2, 2)));
+    assert!((1_700 * MS..=2 * S).contains(&longest_gap(100, 0)));
+    assert!((1_700 * MS..=2 * S).contains(&longest_gap(100, 2)));
+    assert!((1_700 * MS..=2 * S).contains(&longest_gap(400, 3)));
+    assert!((540 * MS..=640 * MS).contains(&longest_gap(2, 12)));
 }
 
+/// Guards against a panic or an action that follows from an event about something unknown.
 #[test]
-fn odd_events_are_ignored() {
+fn events_about_unknown_requests_attempts_and_backends_are_ignored() {
     let mut d = Driver::new(settings(), 2);
     assert!(d.ended(9, 0, Status::Ok, true).is_empty());
     assert!(d.established(9, 0, MS).is_empty());
     assert!(d.event(Event::Measured(9, Measurement::Load(1.0))).is_empty());
     assert!(d.event(Event::ClientGone(9)).is_empty());
     assert!(d.event(Event::Timer(77)).is_empty());
-    let open = Request { id: 3, class: usize::MAX, ..Request::default() };
-    assert!(d.event(Event::Resumed(open, "unheard-of:1".into())).is_empty());
+    let resumed = Request { id: 3, class: usize::MAX, ..Request::default() };
+    assert!(d.event(Event::Resumed(resumed, "unknown:1".into())).is_empty());
     d.request(1);
-    assert!(d.ended(1, 5, Status::Error, false).is_empty(), "no such attempt");
+    assert!(d.ended(1, 5, Status::Error, false).is_empty(), "the request has no such attempt");
     assert!(sent(&d.ended(1, 0, Status::Error, false)).is_some());
 }
 
+/// Guards against the use of the whole CPU of a proxy by a search over all backends while all are in slow
+/// start.
 #[test]
-fn a_fleet_of_cold_backends_is_met_by_its_entries_only() {
-    // A twentieth of a connection is saved for each after two seconds: one of 150 can always be afforded, one
-    // of eight entries by chance of a third. A walk over all of them is what once used up a relay's CPU.
+fn when_all_backends_are_in_slow_start_only_the_table_entries_of_a_key_are_tried() {
+    // After two seconds a proxy has saved a twentieth of a connection for each backend. That always allows a
+    // connection to some backend of 150, but to one of eight table entries only in a third of the cases.
     let mut sends = 0;
     for seed in 0..50 {
         let s = Settings { proxies: 20, slow_start_duration: 10 * S, ..settings() };
@@ -534,49 +599,54 @@
     assert!(sends <= 25, "{sends} of 50");
 }
 
-/// Guards against a fleet that overfills where no note tells of it: real sockets brought no slow note on a
-/// day of strain, and nobody was ever moved off a full backend.
+/// Guards against backends that fill beyond their capacity where no measurement shows it: real sockets
+/// brought no slow measurement under high load, and no connection was ever moved off a backend at capacity.
 #[test]
-fn without_notes_watched_backends_tell_by_their_reports_that_they_are_slow() {
+fn without_measurements_reports_show_that_a_backend_is_slow() {
     let s = Settings { may_probe: true, load_report: Some(0), delay_report: Some(1), ..settings() };
     let mut d = Driver::new(s, 1);
     let backend = members(1)[0].backend.clone();
-    let tell = |d: &mut Driver, load: f64, delay: f64| {
+    let report = |d: &mut Driver, load: f64, delay: f64| {
         let report = vec![load, delay];
         d.event(Event::Probed { backend: backend.clone(), status: Status::Ok, report })
     };
     for id in 0..12 {
         d.request(id);
-        tell(&mut d, 0.3, 20.0);
+        report(&mut d, 0.3, 20.0);
         d.established(id, 0, 20 * MS);
     }
-    let watch = |d: &mut Driver| {
+    let probes_next_second = |d: &mut Driver| {
         d.now += S;
-        !probed(&d.event(Event::Timer(4))).is_empty()
+        !probed(&d.event(Event::Timer(TIMER_PROBES))).is_empty()
     };
     let probes = (0..6).filter(|_| {
-        let asked = watch(&mut d);
-        asked && tell(&mut d, 0.3, 20.0).is_empty()
+        let is_probed = probes_next_second(&mut d);
+        is_probed && report(&mut d, 0.3, 20.0).is_empty()
     });
-    assert_eq!(probes.count(), 2, "a roomy one is asked every third second");
+    assert_eq!(probes.count(), 2, "a lightly loaded backend is probed every third second");
     let moves = (0..20).filter(|_| {
-        watch(&mut d);
-        tell(&mut d, 1.2, 300.0).iter().any(|a| matches!(a, Action::Move(_)))
+        probes_next_second(&mut d);
+        report(&mut d, 1.2, 300.0).iter().any(|a| matches!(a, Action::Move(_)))
     });
-    // Not at each report: those of the next second may be older than what the last moves did.
-    assert!(moves.count() >= 10, "a slow one is asked each second and eased");
+    // Not each report leads to moves: a report of the next second may be older than the effect of the last
+    // moves.
+    assert!(moves.count() >= 10, "a slow backend is probed each second, and connections are moved off it");
     d.event(Event::Measured(1, Measurement::Delay(10 * MS)));
-    assert!(!watch(&mut d) && tell(&mut d, 1.2, 300.0).is_empty(), "notes are fresher");
+    assert!(
+        !probes_next_second(&mut d) && report(&mut d, 1.2, 300.0).is_empty(),
+        "measurements are more recent than reports"
+    );
 }
 
-/// Guards against a backend that stays overfull until its next report, where its connections tell at once what
-/// they ask: four that grew sixfold on one day cost everyone there half of the service for eight seconds.
+/// Guards against a backend that stays over its capacity until its next report, although the measured loads
+/// of its connections show it at once: four connections that grew sixfold cost all clients of the backend
+/// half of the service for eight seconds.
 #[test]
-fn a_noted_load_that_fills_a_backend_moves_it_away_at_once() {
+fn a_connection_whose_load_fills_a_backend_is_moved_at_once() {
     let s = Settings { may_probe: true, load_report: Some(0), delay_report: Some(1), ..settings() };
     let mut d = Driver::new(Settings { sized_weights: true, ..s }, 1);
     let backend = members(1)[0].backend.clone();
-    const NONE: [RequestId; 0] = [];
+    const NO_MOVES: [RequestId; 0] = [];
     let moved = |actions: Vec<Action>| {
         let moved =
             actions.into_iter().filter_map(|a| if let Action::Move(id) = a { Some(id) } else { None });
@@ -593,38 +663,44 @@
         d.event(Event::Measured(id, Measurement::Load(50e3)));
     }
     report(&mut d, 0.3, 9.0);
-    assert_eq!(moved(d.event(Event::Measured(2, Measurement::Load(200e3)))), NONE, "there is room for that");
+    assert_eq!(
+        moved(d.event(Event::Measured(2, Measurement::Load(200e3)))),
+        NO_MOVES,
+        "the backend has the capacity"
+    );
     assert_eq!(
         moved(d.event(Event::Measured(3, Measurement::Load(900e3)))),
         [3],
-        "the one that grew, and no other"
+        "the connection whose load grew, and no other"
     );
     d.ended(3, 0, Status::Cancelled, true);
-    assert_eq!(moved(d.event(Event::Measured(2, Measurement::Load(60e3)))), NONE);
-    // It comes back to where nothing is known of it but its key: it is told to wait, as it would fill the rest.
-    let answer = d.request_with(Request { id: 9, key: Some(3), reconnecting: true, ..Request::default() });
-    assert!(!answer.iter().any(|a| matches!(a, Action::Send { .. })), "{answer:?}");
-    assert!(sent(&d.request(10)).is_some(), "while others are served");
+    assert_eq!(moved(d.event(Event::Measured(2, Measurement::Load(60e3)))), NO_MOVES);
+    // The client reconnects, and only its key is known. Its request waits, as the load of its last connection
+    // would take the remaining capacity.
+    let out = d.request_with(Request { id: 9, key: Some(3), reconnecting: true, ..Request::default() });
+    assert!(!out.iter().any(|a| matches!(a, Action::Send { .. })), "{out:?}");
+    assert!(sent(&d.request(10)).is_some(), "other requests are served");
 }
 
-/// Guards against reports that come seconds late: a set-up that waited tells at once that a backend is slow.
+/// Guards against a slow backend that is used on because its reports arrive seconds late: a setup that waited
+/// shows at once that the backend is slow.
 #[test]
-fn without_notes_a_set_up_that_waited_long_tells_of_a_slow_backend() {
+fn without_measurements_a_setup_that_waited_long_shows_a_slow_backend() {
     for (latency, slow) in [(90 * MS, false), (400 * MS, true)] {
         let s = Settings { may_probe: true, delay_report: Some(1), ..settings() };
         let mut d = Driver::new(s, 1);
         d.connect(1);
         d.request(2);
         d.established(2, 0, latency);
-        // A slow one gets nothing new for a while; the request is held.
-        assert_eq!(sent(&d.request(3)).is_none(), slow, "{latency}");
+        // A slow backend gets nothing new for a while, so the request is held.
+        assert_eq!(sent(&d.request(3)).is_none(), slow, "setup latency {latency}");
     }
 }
 
-/// Guards against a report older than the connections: at a start the first ones told of no load at all,
-/// and full backends were not asked again for three seconds.
+/// Guards against a report that is older than the connections: at a start the first reports showed no load at
+/// all, and backends at capacity were not probed again for three seconds.
 #[test]
-fn a_report_of_no_load_where_connections_stand_is_asked_for_again() {
+fn a_backend_with_connections_that_reports_no_load_is_probed_again_in_a_second() {
     let s = Settings { may_probe: true, load_report: Some(0), delay_report: Some(1), ..settings() };
     let mut d = Driver::new(s, 1);
     let backend = members(1)[0].backend.clone();
@@ -633,9 +709,9 @@
     });
     for load in [0.0, 0.4, 0.4] {
         d.now += S;
-        let asked = !probed(&d.event(Event::Timer(4))).is_empty();
+        let is_probed = !probed(&d.event(Event::Timer(TIMER_PROBES))).is_empty();
         let report = vec![load, 9.0];
         d.event(Event::Probed { backend: backend.clone(), status: Status::Ok, report });
-        assert_eq!(asked, d.now < 103 * S, "asked each second until a load was told");
+        assert_eq!(is_probed, d.now < 103 * S, "probed each second until a load was reported");
     }
 }
