--- a/crates/decision/tests/fleet.rs
+++ b/crates/decision/tests/fleet.rs
@@ -29,9 +29,9 @@
     }
 }
 
-/// Guards against groups that are scattered over all backends in a release, each of which then does the
-/// shared work of each group at that backend. In a release nearly every client reconnects, and hardly a proxy
-/// has a connection of its own that confirms the backend of the client's group as healthy.
+/// Guards against groups that are scattered over all backends in a release. Each backend then does the shared
+/// work of every group that has connections there. In a release nearly every client reconnects, and almost no
+/// proxy has a connection of its own that confirms the backend of the client's group as healthy.
 #[test]
 fn a_group_mostly_stays_together_when_its_clients_reconnect_through_many_proxies() {
     let settings = Settings { proxies: PROXIES as u32, groups: true, ..settings() };
@@ -192,8 +192,8 @@
 }
 
 /// Sends many requests from the restart of these backends on. Returns what each of them gets, as times and
-/// costs: a connection costs 1, a probe its fraction of that. A backend has two cores, each of which holds
-/// fourteen connections, and the load of each connection is measured.
+/// costs: a connection costs 1, a probe `PROBE_COST`. A backend has two cores, each of which holds fourteen
+/// connections, and the load of each connection is measured.
 fn costs_at_restarted(
     settings: Settings,
     seed: u64,
--- a/crates/decision/tests/setup_limit.rs
+++ b/crates/decision/tests/setup_limit.rs
@@ -91,8 +91,8 @@
     }
 }
 
-/// Guards against more attempts than needed to find that setups fail everywhere. What is lost with a zone is
-/// in one zone, so that failures in two zones show it sooner.
+/// Guards against more attempts than needed to find that setups fail everywhere. The loss of a zone
+/// causes failures in one zone only, so that failures in two zones show it sooner.
 #[test]
 fn failures_in_two_zones_limit_setups_sooner_than_in_one() {
     for (zones, most) in [(1, 3), (2, 2)] {
@@ -108,8 +108,8 @@
 }
 
 const PROXIES: usize = 100;
-/// Setups per second that the store can serve: less than one for each proxy. All backends need the store.
-const STORE_RATE: u64 = 80;
+/// Setups that the store can serve: less than one for each proxy. All backends need the store.
+const STORE_SETUPS_PER_SECOND: u64 = 80;
 const CLIENTS: usize = 500;
 const STEP_US: Micros = 10 * MS;
 /// Maximum number of setups that wait at the store. Further ones fail with an error at once.
@@ -233,7 +233,8 @@
         self.serve();
     }
 
-    /// Reports a timeout for each setup that waited too long. The store still serves the setup.
+    /// Reports a timeout for each setup that waited too long. The store still spends the time to serve the
+    /// setup.
     fn time_out(&mut self) {
         let now = self.now;
         let late: Vec<usize> = (0..self.store.len()).filter(|&i| self.store[i].until <= now).collect();
@@ -246,8 +247,8 @@
 
     /// Serves as many setups as the store can serve in a step.
     fn serve(&mut self) {
-        let served = (self.now - STEP_US) * STORE_RATE / S;
-        for _ in served..self.now * STORE_RATE / S {
+        let served = (self.now - STEP_US) * STORE_SETUPS_PER_SECOND / S;
+        for _ in served..self.now * STORE_SETUPS_PER_SECOND / S {
             let Some(Setup { proxy, request, .. }) = self.store.pop_front() else { return };
             // The setup timed out: no client waits for it any more.
             if request == 0 {
--- a/crates/decision/tests/unverified_backends.rs
+++ b/crates/decision/tests/unverified_backends.rs
@@ -262,10 +262,10 @@
     assert_eq!(sends, 40, "failures at all backends exclude none of them");
 }
 
-/// Guards against many failed attempts while this proxy cannot reach a large part of the backends that are
-/// listed as ready.
+/// Guards against many failed attempts while this proxy cannot reach half of the backends that are listed as
+/// ready.
 #[test]
-fn backends_that_answer_are_preferred_while_nearly_half_cannot_be_reached() {
+fn backends_that_answer_are_preferred_while_half_cannot_be_reached() {
     let mut d = Driver::new(Settings { max_attempts: 3, ..settings() }, 12);
     let is_unreachable = |b: &BackendId| b.trim_end_matches(":7000").ends_with(['0', '2', '4', '6', '8']);
     let (mut failures, mut unanswered) = (0, 0);
@@ -305,8 +305,8 @@
     assert_eq!(first_entries(&mut d, 20_000), before);
 }
 
-/// Guards against a list that during a deployment lacks half of the backends: they stay in use, and the
-/// draining backend gets nothing new.
+/// Guards against a wrong list during a deployment: the backends that it lacks must stay in use, and the
+/// draining backend must get nothing new.
 #[test]
 fn a_wrong_list_during_a_deployment_neither_ends_a_drain_nor_removes_a_healthy_backend() {
     let mut d = Driver::new(settings_without_removal(), 8);
@@ -384,7 +384,7 @@
     for id in restarted.iter().flat_map(|b| &ids_by_backend[b]) {
         d.ended(*id, 0, Status::Reset, true);
     }
-    // The lost connections make the backends count as slow. After that time the clients reconnect all at
+    // The lost connections make the backends count as slow for a while. After that, all clients reconnect at
     // once.
     d.now += 35 * S;
     let mut counts: BTreeMap<BackendId, u32> = BTreeMap::new();
