--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -1,4 +1,5 @@
-//! The planned stop: new clients still come for a moment, and all are sent away in a spread.
+//! The planned stop: new clients are still accepted for a moment, and the moves of all clients are spread
+//! over time.
 
 use crate::core::{Core, RequestCommand};
 use pierloom_decision::Micros;
@@ -6,93 +7,104 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// The kill comes no sooner than the longest deadline after the signal, counted as at most this...
-const LONGEST_COUNTED: Micros = 3_000_000;
-/// ...and this much more; microseconds.
-const KILL_SLACK: Micros = 700_000;
-/// Until then the front may still send new clients; microseconds. Where the kill comes soon, they are refused earlier,
-/// so that a third of the time is left for moves and a third for the end.
-const STILL_COMING: Micros = 450_000;
-const STILL_COMING_PART: Micros = 3;
-/// Before the kill, all moves are under way this early, and the process ends this early; microseconds.
-const MOVED_EARLY: Micros = 1_100_000;
-const ENDED_EARLY: Micros = 250_000;
-/// Before its end, the process has this long for the answers to attempts given up; microseconds.
-const LAST_WORDS: Micros = 200_000;
-/// After the last moves, it looks this often for connections that came up since; microseconds.
-const LAST_STEP: Micros = 50_000;
-/// Who was let in at the last moment is seen within this; microseconds.
-const QUIET: Micros = 20_000;
-/// Moves go out no closer than this, several at once where they are many; microseconds.
-const STEP: Micros = 20_000;
+/// The kill comes no sooner after SIGTERM than the longest deadline of a class, counted as at most this, and
+/// [`KILL_MARGIN_US`] more.
+const MAX_COUNTED_DEADLINE_US: Micros = 3_000_000;
+/// Time between the longest counted deadline and the kill.
+const KILL_MARGIN_US: Micros = 700_000;
+/// For this long after SIGTERM, new clients may still be sent to this proxy. Where the kill comes soon, new
+/// clients are refused earlier, so that a third of the time is left for moves and a third for the end.
+const NEW_CLIENTS_PERIOD_US: Micros = 450_000;
+/// New clients are accepted during at most this fraction (one third) of the time before the kill.
+const NEW_CLIENTS_TIME_DIVISOR: Micros = 3;
+/// The last of the spread moves is requested this long before the kill.
+const LAST_MOVE_BEFORE_KILL_US: Micros = 1_100_000;
+/// The process ends this long before the kill.
+const EXIT_BEFORE_KILL_US: Micros = 250_000;
+/// Time before the end of the process for the final answers of clients whose attempts are given up.
+const FINAL_ANSWERS_PERIOD_US: Micros = 200_000;
+/// After the last moves, the proxy looks this often for connections that were established since.
+const RECHECK_INTERVAL_US: Micros = 50_000;
+/// A connection that was accepted at the last moment is registered within this time.
+const IDLE_CONFIRMATION_US: Micros = 20_000;
+/// Moves are no closer together than this; where there are many, several are requested at once.
+const MIN_MOVE_INTERVAL_US: Micros = 20_000;
 
-/// When SIGTERM came. It may come while the process is not ready yet, and its time counts from there.
+/// Returns a receiver of the time at which SIGTERM arrives. The signal may arrive before the process is
+/// ready, and the stop counts from that time.
 pub fn watch_sigterm(core: &Rc<Core>, mut terminations: Signals) -> oneshot::Receiver<Micros> {
-    let (sender, told) = oneshot::channel();
-    let noting = core.clone();
+    let (sender, signalled_at) = oneshot::channel();
+    let task_core = core.clone();
     core.host.spawn(async move {
         if terminations.recv().await.is_some() {
-            // Whoever waits for it does so until the process ends.
-            let _ = sender.send(noting.now());
+            // The receiver is kept until the process ends.
+            let _ = sender.send(task_core.now());
         }
     });
-    told
+    signalled_at
 }
 
-/// Waits for SIGTERM and serves the rest of the process's life.
-pub async fn on_sigterm(core: Rc<Core>, told: oneshot::Receiver<Micros>) {
-    let Ok(told) = told.await else { return std::future::pending().await };
-    let longest = core.settings().classes.iter().map(|class| class.deadline).max().unwrap_or(0);
-    let kill = told + longest.min(LONGEST_COUNTED) + KILL_SLACK;
-    let last_move = kill.saturating_sub(MOVED_EARLY).max(told);
+/// Waits for SIGTERM, then stops the proxy; returns when the process can end.
+pub async fn on_sigterm(core: Rc<Core>, signalled_at: oneshot::Receiver<Micros>) {
+    let Ok(signalled_at) = signalled_at.await else { return std::future::pending().await };
+    let longest_deadline = core.settings().classes.iter().map(|class| class.deadline).max().unwrap_or(0);
+    let kill_at = signalled_at + longest_deadline.min(MAX_COUNTED_DEADLINE_US) + KILL_MARGIN_US;
+    let last_move = kill_at.saturating_sub(LAST_MOVE_BEFORE_KILL_US).max(signalled_at);
     if hand_over_all(&core, last_move).await {
         return;
     }
-    core.deadlines.until(told + STILL_COMING.min((kill - told) / STILL_COMING_PART)).await;
+    core.deadlines
+        .until(signalled_at + NEW_CLIENTS_PERIOD_US.min((kill_at - signalled_at) / NEW_CLIENTS_TIME_DIVISOR))
+        .await;
     while core.now() < last_move {
-        let (left, standing) = (last_move - core.now(), core.established_requests());
-        // One at a time where that spreads them over what is left, more where they are many.
-        let gap = (left / (standing.len() as Micros + 1)).max(STEP);
-        let share = (standing.len() as Micros * gap).div_ceil(left) as usize;
-        standing.into_iter().take(share).for_each(|id| core.send_command(id, RequestCommand::Move));
-        core.deadlines.until((core.now() + gap).min(last_move)).await;
+        let (time_left, established) = (last_move - core.now(), core.established_requests());
+        // One move at a time where that spreads them over the remaining time, several at once where they are
+        // many.
+        let interval = (time_left / (established.len() as Micros + 1)).max(MIN_MOVE_INTERVAL_US);
+        let batch_size = (established.len() as Micros * interval).div_ceil(time_left) as usize;
+        established.into_iter().take(batch_size).for_each(|id| core.send_command(id, RequestCommand::Move));
+        core.deadlines.until((core.now() + interval).min(last_move)).await;
     }
-    // Whoever is not served by now is free to go elsewhere while there is time: the module says with which answer. An
-    // attempt that is out may still bring its connection up: that one is moved too, and what is out at the very end is
-    // given up.
+    // Clients that are not served by now get an answer while there is time to go elsewhere; the decision
+    // module chooses the answer. An attempt in progress may still establish its connection, which is then
+    // moved too. Attempts that are in progress at the very end are given up.
     core.stop();
-    let last_words = kill - ENDED_EARLY - LAST_WORDS;
-    move_all(&core, last_words).await;
+    let final_answers_at = kill_at - EXIT_BEFORE_KILL_US - FINAL_ANSWERS_PERIOD_US;
+    move_all(&core, final_answers_at).await;
     if core.is_idle() {
         return;
     }
     core.terminating.set();
-    move_all(&core, kill - ENDED_EARLY).await;
+    move_all(&core, kill_at - EXIT_BEFORE_KILL_US).await;
 }
 
-/// Moves whoever stands, and whoever comes up meanwhile, until nobody is owed anything or it is that time.
+/// Moves the clients of all established connections, also of those established meanwhile, until no client
+/// awaits an answer or `until` is reached.
 async fn move_all(core: &Core, until: Micros) {
     loop {
         core.established_requests().into_iter().for_each(|id| core.send_command(id, RequestCommand::Move));
-        if quiet(core, (core.now() + LAST_STEP).min(until)).await || core.now() >= until {
+        if confirm_idle(core, (core.now() + RECHECK_INTERVAL_US).min(until)).await || core.now() >= until {
             return;
         }
     }
 }
 
-/// Waits until nobody is owed anything, and a moment more shows none who was in the queue; false at that time.
-async fn quiet(core: &Core, until: Micros) -> bool {
+/// Waits until no client awaits an answer, and a moment longer for clients that were still in the accept
+/// queue. True if there are none; false as well if `until` is reached first.
+async fn confirm_idle(core: &Core, until: Micros) -> bool {
     tokio::select! {
         biased;
         () = core.wait_until_idle() => {}
         () = core.deadlines.until(until) => return false,
     }
-    core.deadlines.until((core.now() + QUIET).min(until)).await;
+    core.deadlines.until((core.now() + IDLE_CONFIRMATION_US).min(until)).await;
     core.is_idle()
 }
 
-/// Where another process has taken over, it gets every connection as soon as it stands; true once all are with it, or
-/// have ended. Who was taken in and not heard yet is heard first. False where there is none, or it ended meanwhile.
+/// Where a successor process has taken over, hands every connection over to it once established. A client
+/// that was accepted, and whose request is not complete yet, is read first. True once all connections are
+/// handed over or have ended; false if there is no successor, if it ended meanwhile, or if `until` is
+/// reached.
 async fn hand_over_all(core: &Core, until: Micros) -> bool {
     while core.has_successor() && core.now() < until {
         core.established_requests()
@@ -101,7 +113,7 @@
         tokio::select! {
             biased;
             () = core.wait_until_idle() => return true,
-            () = core.deadlines.until((core.now() + LAST_STEP).min(until)) => {}
+            () = core.deadlines.until((core.now() + RECHECK_INTERVAL_US).min(until)) => {}
         }
     }
     false
