--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,6 +1,7 @@
 #![forbid(unsafe_code)]
-//! The real proxy round the decision module: sockets, deadlines and bookkeeping, no decisions. It reaches its
-//! machine through [`pierloom_host::Host`] alone, so that it runs on any clock and any network.
+//! The network code around the decision module: sockets, deadlines and records of requests, no decisions. All
+//! access to the operating system goes through [`pierloom_host::Host`], so that the proxy runs on any clock
+//! and any network.
 
 mod attempt;
 pub mod config;
@@ -38,16 +39,16 @@
 use std::rc::Rc;
 use tokio::sync::watch;
 
-/// What a proxy is made of beside its network code.
+/// The exchangeable components of a proxy.
 pub struct Components {
-    /// What decides.
+    /// Makes all decisions on placement and admission.
     pub module: Box<dyn DecisionModule>,
     /// The protocol towards clients and backends.
     pub protocol: Rc<dyn Protocol>,
 }
 
 impl Components {
-    /// The decision module and the platform's line protocol, for that config.
+    /// Builds the decision module and the platform's line protocol from a config.
     pub fn from_config(config: &Config) -> Result<Self, ErrorMessage> {
         let module = Balancer::new(config.settings.clone(), config.seed).map_err(|e| e.to_string())?;
         let protocol = LineProtocol::new(config.names.clone(), &config.settings);
@@ -62,82 +63,82 @@
 }
 
 impl SignalHandlers {
-    /// To be installed before anything else: a signal without its handler ends the process. One that comes before
-    /// [`run`] is heeded there.
+    /// Installs the handlers. This must come before anything else, as a signal without a handler ends the
+    /// process. A signal that arrives before [`run`] is handled there.
     pub fn install(host: &Host) -> Result<Self, ErrorMessage> {
         let signals = |which| host.signals(which).map_err(|e| format!("signals: {e}"));
         Ok(SignalHandlers { hangups: signals(Signal::Hangup)?, terminations: signals(Signal::Terminate)? })
     }
 }
 
-/// Runs the proxy on that machine until it has stopped as planned.
+/// Runs the proxy on `host` until its planned stop is complete.
 pub async fn run(
     host: Host,
     handlers: SignalHandlers,
     config: Config,
-    parts: Components,
+    components: Components,
 ) -> Result<(), ErrorMessage> {
-    let Components { module, protocol } = parts;
+    let Components { module, protocol } = components;
     let names = config.names;
-    let metrics = Metrics::new(names.class_names()).map_err(|e| format!("figures: {e}"))?;
+    let metrics = Metrics::new(names.class_names()).map_err(|e| format!("metrics: {e}"))?;
     let (core, probes) = Core::new(host.clone(), config.settings, module, metrics);
     let SignalHandlers { hangups, terminations } = handlers;
-    let terminated = shutdown::watch_sigterm(&core, terminations);
-    names.warnings.iter().for_each(|doubt| tracing::warn!(target: "config", "{doubt}"));
+    let sigterm = shutdown::watch_sigterm(&core, terminations);
+    names.warnings.iter().for_each(|warning| tracing::warn!(target: "config", "{warning}"));
     keep_up(&host, "sweep", {
         let core = core.clone();
         move || core.clone().run_timers()
     });
     let upgrades = Upgrades::new(core.clone(), protocol.clone(), &config.name, config.console.is_some());
-    let inherited = upgrades.take_over().await;
-    let list =
-        inherited.as_ref().map_or(config.initial_endpoints, |inherited| inherited.endpoints.snapshot());
-    let roster = Rc::new(RefCell::new(Endpoints::default()));
-    let known = Cell::new(Some(list.index()));
-    discovery::apply_endpoints(&core, &names, &roster, list, ListKind::Full);
-    let (discovery_moves, address) = watch::channel(config.discovery);
-    host.spawn(reload::on_sighup(core.clone(), hangups, config.source, discovery_moves));
+    let takeover = upgrades.take_over().await;
+    let initial_endpoints =
+        takeover.as_ref().map_or(config.initial_endpoints, |takeover| takeover.endpoints.snapshot());
+    let endpoints = Rc::new(RefCell::new(Endpoints::default()));
+    let index = Cell::new(Some(initial_endpoints.index()));
+    discovery::apply_endpoints(&core, &names, &endpoints, initial_endpoints, ListKind::Full);
+    let (discovery_sender, server) = watch::channel(config.discovery);
+    host.spawn(reload::on_sighup(core.clone(), hangups, config.source, discovery_sender));
     keep_up(&host, "machine list", {
-        let (core, names, roster) = (core.clone(), names.clone(), roster.clone());
-        move || discovery::watch(core.clone(), names.clone(), roster.clone(), address.clone(), known.take())
+        let (core, names, endpoints) = (core.clone(), names.clone(), endpoints.clone());
+        move || discovery::watch(core.clone(), names.clone(), endpoints.clone(), server.clone(), index.take())
     });
     host.spawn(probe::serve(core.clone(), protocol.clone(), probes));
-    let reserved = config.console.map_or(0, |_| console::max_connections(config.max_descriptors));
-    let (socket, before) = match inherited {
-        Some(inherited) => {
-            core.dispatch_event(Event::LearnedState(Box::new(inherited.learned_state)));
-            (inherited.listener, Some((inherited.channel, inherited.active_requests)))
+    let reserved_descriptors = config.console.map_or(0, |_| console::max_connections(config.max_descriptors));
+    let (tcp_listener, predecessor) = match takeover {
+        Some(takeover) => {
+            core.dispatch_event(Event::LearnedState(Box::new(takeover.learned_state)));
+            (takeover.listener, Some((takeover.channel, takeover.active_requests)))
         }
         None => (Listener::bind(&host, config.listen, config.console.is_some())?, None),
     };
-    let listener = Rc::new(Listener::new(&host, socket, config.max_descriptors, reserved));
+    let listener = Rc::new(Listener::new(&host, tcp_listener, config.max_descriptors, reserved_descriptors));
     tracing::info!(target: "proxy", "{} listening on {}", config.name, listener.address());
     if let Some(address) = config.console {
         let console = Rc::new(Console::bind(&host, address, config.max_descriptors)?);
-        tracing::info!(target: "console", "{} listens to staff on {}", config.name, console.address());
+        tracing::info!(target: "console", "{} serves operators on {}", config.name, console.address());
         let (core, upgrades) = (core.clone(), upgrades.clone());
         keep_up(&host, "console", move || console.clone().serve(core.clone(), upgrades.clone()));
     }
-    // Ends with the process: new clients are taken in until then.
+    // The listener accepts new clients until the process ends.
     keep_up(&host, "listener", {
         let (core, listener) = (core.clone(), listener.clone());
         move || listener.clone().serve(core.clone(), protocol.clone())
     });
-    host.spawn(upgrades.serve(listener.clone(), roster, before));
-    shutdown::on_sigterm(core, terminated).await;
+    host.spawn(upgrades.serve(listener.clone(), endpoints, predecessor));
+    shutdown::on_sigterm(core, sigterm).await;
     Ok(())
 }
 
-/// Runs a task that the proxy cannot do without; a panic in it ends that turn of it and no more.
+/// Runs a task that the proxy depends on, and starts it again after a panic.
 fn keep_up<F: Future<Output = ()> + 'static>(
     host: &Host,
-    what: &'static str,
+    task: &'static str,
     start: impl Fn() -> F + 'static,
 ) {
-    let machine = host.clone();
+    let task_host = host.clone();
     host.spawn(async move {
-        while machine.spawn(start()).await == TaskEnd::Aborted {
-            tracing::error!(target: "proxy", "{what}: started again after a panic");
+        while task_host.spawn(start()).await == TaskEnd::Aborted {
+            tracing::error!(target: "proxy", "{task}: started again after a panic");
         }
     });
 }
