--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -1,4 +1,4 @@
-//! What the proxy is told at its start, LB_CONFIG and the variables beside it, and when its config was replaced.
+//! The config: the file named by LB_CONFIG, the environment variables that override it, and its reload.
 
 use crate::source::discovery::{self, EndpointsResponse};
 use pierloom_decision::{Balancer, Settings};
@@ -9,118 +9,124 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-/// A complaint in one plain line.
+/// An error message of one line.
 pub type ErrorMessage = String;
 
 #[derive(Deserialize)]
 struct Limits {
-    sockets: usize,
+    #[serde(rename = "sockets")]
+    max_descriptors: usize,
 }
 
+/// The config file as it is written.
 #[derive(Deserialize)]
-struct File {
+struct RawConfig {
     name: Option<String>,
     listen: Option<String>,
     discovery: Option<String>,
     console: Option<String>,
     seed: String,
     limits: Option<Limits>,
-    #[serde(default)]
-    known: EndpointsResponse,
+    #[serde(default, rename = "known")]
+    initial_endpoints: EndpointsResponse,
     settings: serde_json::Value,
 }
 
-/// Everything that `serve` needs.
+/// The complete config of a proxy.
 pub struct Config {
-    /// Its name, the same after a restart.
+    /// Name of the proxy, the same after a restart.
     pub name: String,
-    /// Where clients connect.
+    /// Address on which clients connect.
     pub listen: SocketAddr,
-    /// Where the machine list is told.
+    /// Address of discovery, which reports the endpoints.
     pub discovery: SocketAddr,
-    /// Where staff call, if anywhere.
+    /// Address of the operators' console, if there is one.
     pub console: Option<SocketAddr>,
-    /// Seed of the module's random numbers.
+    /// Seed of the decision module's random numbers.
     pub seed: u64,
-    /// File descriptors that the process may hold.
+    /// Number of file descriptors that the process may hold.
     pub max_descriptors: usize,
-    /// The machine list as this proxy last had it.
+    /// The endpoints as this proxy last knew them.
     pub initial_endpoints: EndpointsResponse,
-    /// The module's settings.
+    /// Settings of the decision module.
     pub settings: Settings,
-    /// The names that the settings use.
+    /// Names of classes, zones and report columns in the settings.
     pub names: Rc<NameIndex>,
-    /// Where all this was read.
+    /// The file that the config was read from.
     pub source: ConfigFile,
 }
 
-/// Where the config came from.
+/// A config file that can be read again.
 pub struct ConfigFile {
     path: PathBuf,
-    /// The address of discovery in the file, which LB_DISCOVERY may have overruled.
+    /// Address of discovery in the file, which LB_DISCOVERY may override.
     discovery: Option<String>,
 }
 
 impl ConfigFile {
-    /// Reads the file again: the address of discovery where the file names another than before, which then
-    /// comes before LB_DISCOVERY. A file that `serve` would not start with changes nothing.
+    /// Reads the file again. Returns the address of discovery where the file names another than before, which
+    /// then takes precedence over LB_DISCOVERY. A file that `serve` would not start with changes nothing.
     pub fn reload(&mut self, host: &Host) -> Result<Option<SocketAddr>, ErrorMessage> {
-        let stated = read(host, &self.path)?.source.discovery;
-        if stated == self.discovery {
+        let configured = read(host, &self.path)?.source.discovery;
+        if configured == self.discovery {
             return Ok(None);
         }
-        let discovery = match &stated {
-            Some(text) => parsed("discovery", text)?,
-            None => address(host, "discovery", "LB_DISCOVERY", None)?,
+        let discovery = match &configured {
+            Some(text) => parse_address("discovery", text)?,
+            None => resolve_address(host, "discovery", "LB_DISCOVERY", None)?,
         };
-        self.discovery = stated;
+        self.discovery = configured;
         Ok(Some(discovery))
     }
 }
 
-/// Descriptors assumed where no limit is stated: the usual soft limit.
-const USUAL_SOCKETS: usize = 1024;
+/// Limit of descriptors where the file states none: the usual soft limit of a process.
+const DEFAULT_MAX_DESCRIPTORS: usize = 1024;
 
-fn address(
+/// The address in the environment variable, or else the one that the file states.
+fn resolve_address(
     host: &Host,
-    what: &str,
+    name: &str,
     variable: &str,
-    stated: Option<String>,
+    configured: Option<String>,
 ) -> Result<SocketAddr, ErrorMessage> {
-    let text = host.env_var(variable).or(stated);
-    let text = text.ok_or_else(|| format!("{what}: neither {variable} nor the config names an address"))?;
-    parsed(what, &text)
+    let text = host.env_var(variable).or(configured);
+    let text = text.ok_or_else(|| format!("{name}: neither {variable} nor the config names an address"))?;
+    parse_address(name, &text)
 }
 
-fn parsed(what: &str, text: &str) -> Result<SocketAddr, ErrorMessage> {
-    text.parse().map_err(|_| format!("{what}: {text:?} is no address"))
+fn parse_address(name: &str, text: &str) -> Result<SocketAddr, ErrorMessage> {
+    text.parse().map_err(|_| format!("{name}: {text:?} is not an address"))
 }
 
-/// Reads the config file at `path`; LB_LISTEN, LB_DISCOVERY and LB_CONSOLE come before what it says.
+/// Reads the config file at `path`. LB_NAME, LB_LISTEN, LB_DISCOVERY and LB_CONSOLE take precedence over its
+/// values.
 pub fn read(host: &Host, path: &Path) -> Result<Config, ErrorMessage> {
     let mut bytes = host.read_file(path).map_err(|e| format!("config {}: {e}", path.display()))?;
-    let file: File = simd_json::serde::from_slice(&mut bytes)
+    let file: RawConfig = simd_json::serde::from_slice(&mut bytes)
         .map_err(|e| format!("config {}: {e}", path.display()).replace('\n', " "))?;
     let (mut settings, names) = wire::parse_settings_value(file.settings)?;
-    // An agent that pushes stands beside the proxy, and what it has not got is not told.
+    // A maximum age holds only where the proxy asks for the list. An agent that pushes the endpoints runs
+    // beside the proxy, and what the agent has not received is not reported.
     settings.max_endpoints_age = settings.ask_for_list.then_some(discovery::MAX_ENDPOINTS_AGE_US);
     settings.max_endpoints_age_after_move = discovery::MAX_ENDPOINTS_AGE_AFTER_MOVE_US;
-    let seed = u64::from_str_radix(&file.seed, 16).map_err(|_| format!("seed: {:?} is no hex", file.seed))?;
-    // What the module itself would refuse is said here, before anything is opened.
+    let seed = u64::from_str_radix(&file.seed, 16)
+        .map_err(|_| format!("seed: {:?} is not hexadecimal", file.seed))?;
+    // Settings that the decision module rejects are reported here, before any socket is opened.
     Balancer::new(settings.clone(), seed).map_err(|e| e.to_string())?;
     let source = ConfigFile { path: path.to_path_buf(), discovery: file.discovery.clone() };
     Ok(Config {
         name: host.env_var("LB_NAME").or(file.name).unwrap_or_else(|| "pierloom".into()),
-        listen: address(host, "listen", "LB_LISTEN", file.listen)?,
-        discovery: address(host, "discovery", "LB_DISCOVERY", file.discovery)?,
+        listen: resolve_address(host, "listen", "LB_LISTEN", file.listen)?,
+        discovery: resolve_address(host, "discovery", "LB_DISCOVERY", file.discovery)?,
         console: host
             .env_var("LB_CONSOLE")
             .or(file.console)
-            .map(|text| parsed("console", &text))
+            .map(|text| parse_address("console", &text))
             .transpose()?,
         seed,
-        max_descriptors: file.limits.map_or(USUAL_SOCKETS, |limits| limits.sockets),
-        initial_endpoints: file.known,
+        max_descriptors: file.limits.map_or(DEFAULT_MAX_DESCRIPTORS, |limits| limits.max_descriptors),
+        initial_endpoints: file.initial_endpoints,
         settings,
         names: Rc::new(names),
         source,
