--- a/crates/proxy/src/reload.rs
+++ b/crates/proxy/src/reload.rs
@@ -1,4 +1,4 @@
-//! A config that is replaced while the proxy runs.
+//! Reloads the config at SIGHUP while the proxy runs.
 
 use crate::config::ConfigFile;
 use crate::core::Core;
@@ -8,36 +8,37 @@
 use std::rc::Rc;
 use tokio::sync::watch;
 
-/// A file that cannot be used may still be being written: it is read again this often...
-const AGAIN: Micros = 100_000;
-/// ...for this long. What a new discovery has to tell counts as told four seconds after the signal; microseconds.
-const WRITTEN_BY: Micros = 2_000_000;
+/// A file that cannot be used may not be written completely yet, so it is read again at this interval.
+const REREAD_INTERVAL_US: Micros = 100_000;
+/// The file is read again for this long. What a new discovery reports counts as known four seconds after the
+/// signal.
+const REREAD_PERIOD_US: Micros = 2_000_000;
 
-/// Reads the config again at each SIGHUP and hands on where discovery is now. Jobs, their connections and all
-/// that the module learned stay; whatever else the file says takes a new start.
+/// Reads the config again at each SIGHUP and publishes the new address of discovery. Requests, their
+/// connections and the learned state stay. Any other change of the file takes effect only at the next start.
 pub async fn on_sighup(
     core: Rc<Core>,
     mut hangups: Signals,
-    mut source: ConfigFile,
+    mut config_file: ConfigFile,
     discovery: watch::Sender<SocketAddr>,
 ) {
     while hangups.recv().await.is_some() {
-        let (told, mut complained) = (core.now(), false);
+        let (signalled_at, mut error_logged) = (core.now(), false);
         loop {
-            match source.reload(&core.host) {
+            match config_file.reload(&core.host) {
                 Ok(Some(address)) => {
                     tracing::info!(target: "reload", "discovery is now at {address}");
                     discovery.send_replace(address);
                     break;
                 }
                 Ok(None) => break,
-                Err(fault) if !std::mem::replace(&mut complained, true) => {
-                    tracing::error!(target: "reload", "the old config stays: {fault}");
+                Err(error) if !std::mem::replace(&mut error_logged, true) => {
+                    tracing::error!(target: "reload", "the old config stays: {error}");
                 }
-                Err(_) if core.now() >= told + WRITTEN_BY => break,
+                Err(_) if core.now() >= signalled_at + REREAD_PERIOD_US => break,
                 Err(_) => {}
             }
-            core.deadlines.until(core.now() + AGAIN).await;
+            core.deadlines.until(core.now() + REREAD_INTERVAL_US).await;
         }
     }
 }
