--- a/crates/proxy/src/pending.rs
+++ b/crates/proxy/src/pending.rs
@@ -1,4 +1,5 @@
-//! Pending connections: those of which nothing whole was heard yet, bounded, so that those who say nothing keep nobody out.
+//! Pending connections: those from which no complete request has arrived yet. Their number is bounded, so
+//! that silent connections keep no client out.
 
 use crate::core::Core;
 use pierloom_decision::Micros;
@@ -7,65 +8,66 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// One is not sent away sooner than this for the next: its words may be on the way; microseconds.
-const LEAST_HEARING: Micros = 20_000;
+/// A pending connection is evicted for the next no sooner than this, as its request may be on the way.
+const MIN_PENDING_TIME_US: Micros = 20_000;
 
-/// Connections not heard yet. Where they are too many, the one that has been there longest makes room for the next.
+/// The set of pending connections. At capacity, the oldest one is evicted to make room for the next.
 pub struct PendingConnections {
-    most: usize,
-    next: Cell<u64>,
-    /// Since when each is there, and what rings when its place is wanted.
-    there: RefCell<BTreeMap<u64, (Micros, Rc<Notify>)>>,
-    /// Rung when one has left.
-    left: Notify,
+    capacity: usize,
+    next_id: Cell<u64>,
+    /// For each connection, the time since when it is pending, and the notification of its eviction.
+    slots: RefCell<BTreeMap<u64, (Micros, Rc<Notify>)>>,
+    /// Notified when a slot becomes free.
+    slot_released: Notify,
 }
 
 impl PendingConnections {
-    pub fn new(most: usize) -> Rc<Self> {
+    /// A set of at most `capacity` connections.
+    pub fn new(capacity: usize) -> Rc<Self> {
         Rc::new(PendingConnections {
-            most,
-            next: Cell::new(0),
-            there: RefCell::default(),
-            left: Notify::new(),
+            capacity,
+            next_id: Cell::new(0),
+            slots: RefCell::default(),
+            slot_released: Notify::new(),
         })
     }
 
-    /// Waits for a place.
+    /// Waits for a free slot, and evicts the oldest connection where there is none.
     pub async fn acquire_slot(self: &Rc<Self>, core: &Core) -> PendingSlot {
-        while self.there.borrow().len() >= self.most {
-            let longest = self.there.borrow().values().next().cloned();
-            let Some((since, wanted)) = longest else { continue };
+        while self.slots.borrow().len() >= self.capacity {
+            let oldest = self.slots.borrow().values().next().cloned();
+            let Some((since, eviction)) = oldest else { continue };
             tokio::select! {
                 biased;
-                () = self.left.notified() => continue,
-                () = core.deadlines.until(since + LEAST_HEARING) => {}
+                () = self.slot_released.notified() => continue,
+                () = core.deadlines.until(since + MIN_PENDING_TIME_US) => {}
             }
-            wanted.notify_one();
-            self.left.notified().await;
+            eviction.notify_one();
+            self.slot_released.notified().await;
         }
-        let (number, wanted) = (self.next.replace(self.next.get() + 1), Rc::new(Notify::new()));
-        self.there.borrow_mut().insert(number, (core.now(), wanted.clone()));
-        PendingSlot { pending: self.clone(), number, wanted }
+        let (id, eviction) = (self.next_id.replace(self.next_id.get() + 1), Rc::new(Notify::new()));
+        self.slots.borrow_mut().insert(id, (core.now(), eviction.clone()));
+        PendingSlot { pending: self.clone(), id, eviction }
     }
 }
 
-/// A place in the pending, free again when this is dropped.
+/// A slot among the pending connections; dropping it makes the slot free again.
 pub struct PendingSlot {
     pending: Rc<PendingConnections>,
-    number: u64,
-    wanted: Rc<Notify>,
+    id: u64,
+    eviction: Rc<Notify>,
 }
 
 impl PendingSlot {
-    /// Waits until the place is wanted for another.
+    /// Waits until the slot is needed for another connection.
     pub async fn evicted(&self) {
-        self.wanted.notified().await;
+        self.eviction.notified().await;
     }
 }
 
 impl Drop for PendingSlot {
     fn drop(&mut self) {
-        self.pending.there.borrow_mut().remove(&self.number);
-        self.pending.left.notify_one();
+        self.pending.slots.borrow_mut().remove(&self.id);
+        self.pending.slot_released.notify_one();
     }
 }
