--- a/crates/proxy/src/console.rs
+++ b/crates/proxy/src/console.rs
@@ -1,4 +1,4 @@
-//! The second address, for staff: HTTP/1.1, one call per connection. It decides nothing.
+//! The console, a second address for operators: HTTP/1.1, one request per connection. It makes no decisions.
 
 use crate::config::ErrorMessage;
 use crate::core::Core;
@@ -18,60 +18,66 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Part of all descriptors, and the least and the greatest number, for callers.
-const PLACES_PART: usize = 16;
-const PLACES_LEAST: usize = 16;
-const PLACES_MOST: usize = 64;
-/// From connecting, a caller has this long to make its call and take the answer; microseconds.
-const CALL: Micros = 5_000_000;
-/// The least that hyper reads into; a longer head is answered 431; bytes.
-const BUFFER: usize = 8_192;
-/// Calls that the system lets wait to be taken in.
-const BACKLOG: i32 = 256;
-/// Pause after an accept that failed; microseconds.
-const ACCEPT_PAUSE: Micros = 20_000;
+/// One console connection is allowed per this many descriptors of the process, within the two bounds below.
+const DESCRIPTORS_PER_CONNECTION: usize = 16;
+const MIN_CONNECTIONS: usize = 16;
+const MAX_CONNECTIONS: usize = 64;
+/// Time from the accept of a connection until its request is read and the answer is taken.
+const REQUEST_TIMEOUT_US: Micros = 5_000_000;
+/// The smallest buffer that hyper accepts; a longer request head is answered with status 431.
+const READ_BUFFER_BYTES: usize = 8_192;
+/// Connections that the system queues before they are accepted.
+const LISTEN_BACKLOG: i32 = 256;
+/// Pause after a failed accept.
+const ACCEPT_PAUSE_US: Micros = 20_000;
 
-/// The most callers at once, where the process may hold so many descriptors.
-pub fn max_connections(sockets: usize) -> usize {
-    (sockets / PLACES_PART).clamp(PLACES_LEAST, PLACES_MOST)
+/// Maximum number of simultaneous console connections, if the process may hold `max_descriptors` file
+/// descriptors.
+pub fn max_connections(max_descriptors: usize) -> usize {
+    (max_descriptors / DESCRIPTORS_PER_CONNECTION).clamp(MIN_CONNECTIONS, MAX_CONNECTIONS)
 }
 
-/// Takes staff's calls in.
+/// Accepts the requests of operators.
 pub struct Console {
     listener: TcpListener,
     pending: Rc<PendingConnections>,
 }
 
 impl Console {
-    pub fn bind(host: &Host, address: SocketAddr, sockets: usize) -> Result<Self, ErrorMessage> {
+    /// Listens on `address`.
+    pub fn bind(host: &Host, address: SocketAddr, max_descriptors: usize) -> Result<Self, ErrorMessage> {
         let listener =
-            host.listen(address, BACKLOG, false).map_err(|e| format!("console: {address}: {e}"))?;
-        Ok(Console { listener, pending: PendingConnections::new(max_connections(sockets)) })
+            host.listen(address, LISTEN_BACKLOG, false).map_err(|e| format!("console: {address}: {e}"))?;
+        Ok(Console { listener, pending: PendingConnections::new(max_connections(max_descriptors)) })
     }
 
+    /// The address that the console listens on.
     pub fn address(&self) -> SocketAddr {
         self.listener.address()
     }
 
-    /// Accepts for ever; each call is a task of its own, where a panic stays.
+    /// Accepts connections without end. Each one is served by its own task, so that a panic affects no other.
     pub async fn serve(self: Rc<Self>, core: Rc<Core>, upgrades: Rc<Upgrades>) {
         loop {
-            let place = self.pending.acquire_slot(&core).await;
+            let slot = self.pending.acquire_slot(&core).await;
             match self.listener.accept().await {
-                Ok((stream, _)) => drop(core.host.spawn(call(core.clone(), upgrades.clone(), stream, place))),
+                Ok((stream, _)) => {
+                    drop(core.host.spawn(handle_connection(core.clone(), upgrades.clone(), stream, slot)))
+                }
                 Err(e) => {
                     tracing::warn!(target: "console", "{e}");
-                    core.deadlines.until(core.now() + ACCEPT_PAUSE).await;
+                    core.deadlines.until(core.now() + ACCEPT_PAUSE_US).await;
                 }
             }
         }
     }
 }
 
-/// Hears one call and answers it. What is no whole call in time, or stands in another's way, is closed.
-async fn call(core: Rc<Core>, upgrades: Rc<Upgrades>, stream: TcpStream, place: PendingSlot) {
+/// Reads one request and answers it. The connection is closed if no complete request arrives in time, or if
+/// its slot is needed for another connection.
+async fn handle_connection(core: Rc<Core>, upgrades: Rc<Upgrades>, stream: TcpStream, slot: PendingSlot) {
     stream.set_nodelay();
-    let served = {
+    let service = {
         let core = core.clone();
         service_fn(move |request| {
             let answer = answer(&core, &upgrades, &request);
@@ -79,56 +85,64 @@
         })
     };
     let mut http = http1::Builder::new();
-    // A caller may end its sending after the call and still wait for the answer.
-    http.keep_alive(false).half_close(true).max_buf_size(BUFFER);
+    // An operator's client may close its sending side after the request and still wait for the answer.
+    http.keep_alive(false).half_close(true).max_buf_size(READ_BUFFER_BYTES);
     tokio::select! {
         biased;
-        // How it ended is the caller's to know.
-        _ = http.serve_connection(TokioIo::new(stream), served) => {}
-        () = core.deadlines.until(core.now() + CALL) => {}
-        () = place.evicted() => {}
+        // An error on the connection concerns the operator's client alone.
+        _ = http.serve_connection(TokioIo::new(stream), service) => {}
+        () = core.deadlines.until(core.now() + REQUEST_TIMEOUT_US) => {}
+        () = slot.evicted() => {}
     }
 }
 
-type Answer = Response<Full<Bytes>>;
+type TextResponse = Response<Full<Bytes>>;
 
-fn said(status: StatusCode, words: impl Into<Bytes>) -> Answer {
-    let mut answer = Response::new(Full::new(words.into()));
+/// A plain text answer.
+fn text_response(status: StatusCode, text: impl Into<Bytes>) -> TextResponse {
+    let mut answer = Response::new(Full::new(text.into()));
     *answer.status_mut() = status;
     answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/plain; charset=utf-8"));
     answer
 }
 
-fn wrong_method(allowed: &'static str) -> Answer {
-    let mut answer = said(StatusCode::METHOD_NOT_ALLOWED, format!("only {allowed} is meant here\n"));
+fn method_not_allowed(allowed: &'static str) -> TextResponse {
+    let mut answer = text_response(StatusCode::METHOD_NOT_ALLOWED, format!("only {allowed} is meant here\n"));
     answer.headers_mut().insert(ALLOW, HeaderValue::from_static(allowed));
     answer
 }
 
-/// What the call is owed.
-fn answer(core: &Core, upgrades: &Rc<Upgrades>, request: &Request<Incoming>) -> Answer {
+/// Handles one request: health, metrics, or maintenance of a backend.
+fn answer(core: &Core, upgrades: &Rc<Upgrades>, request: &Request<Incoming>) -> TextResponse {
     let path: Vec<&str> = request.uri().path().split('/').skip(1).collect();
     let get = request.method() == Method::GET;
     match path[..] {
-        ["healthcheck"] if get && upgrades.serving() => said(StatusCode::OK, "serving\n"),
-        ["healthcheck"] if get => said(StatusCode::SERVICE_UNAVAILABLE, "not yet\n"),
-        ["stats"] if get => said(StatusCode::OK, core.metrics_text()),
-        ["healthcheck" | "stats"] => wrong_method("GET"),
-        ["label-servers", backend, order @ ("maint" | "ready")] if request.method() == Method::POST => {
-            let (backend, withheld) = (percent_decode_str(backend).decode_utf8_lossy(), order == "maint");
-            match upgrades.set_maintenance(&backend, withheld) {
+        ["healthcheck"] if get && upgrades.serving() => text_response(StatusCode::OK, "serving\n"),
+        ["healthcheck"] if get => text_response(StatusCode::SERVICE_UNAVAILABLE, "not yet\n"),
+        ["stats"] if get => text_response(StatusCode::OK, core.metrics_text()),
+        ["healthcheck" | "stats"] => method_not_allowed("GET"),
+        ["label-servers", backend, state @ ("maint" | "ready")] if request.method() == Method::POST => {
+            let (backend, in_maintenance) =
+                (percent_decode_str(backend).decode_utf8_lossy(), state == "maint");
+            match upgrades.set_maintenance(&backend, in_maintenance) {
                 MaintenanceResult::UnknownBackend => {
-                    return said(StatusCode::NOT_FOUND, "no machine list ever named it\n");
+                    return text_response(StatusCode::NOT_FOUND, "no machine list ever named it\n");
                 }
                 MaintenanceResult::NotPersisted => {
-                    return said(StatusCode::SERVICE_UNAVAILABLE, "in force, but not written down yet\n");
+                    return text_response(
+                        StatusCode::SERVICE_UNAVAILABLE,
+                        "in force, but not written down yet\n",
+                    );
                 }
                 MaintenanceResult::Persisted => {}
             }
-            tracing::info!(target: "console", "{backend}: {order}");
-            said(StatusCode::OK, if withheld { "nothing new goes there\n" } else { "in use\n" })
+            tracing::info!(target: "console", "{backend}: {state}");
+            text_response(
+                StatusCode::OK,
+                if in_maintenance { "nothing new goes there\n" } else { "in use\n" },
+            )
         }
-        ["label-servers", _, "maint" | "ready"] => wrong_method("POST"),
-        _ => said(StatusCode::NOT_FOUND, "no such path\n"),
+        ["label-servers", _, "maint" | "ready"] => method_not_allowed("POST"),
+        _ => text_response(StatusCode::NOT_FOUND, "no such path\n"),
     }
 }
