--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -1,30 +1,34 @@
-//! The figures that staff read: counts by class since the start of the process, and what holds at the moment of the call.
+//! The metrics that operators read: counters by class since the start of the process, and gauges of the
+//! current state.
 
 use prometheus::{IntCounterVec, IntGauge, Opts, Registry, TextEncoder};
 
-/// The label of classes that the settings do not name.
-const UNNAMED: &str = "other";
+/// Label of all classes that the settings do not name.
+const OTHER_CLASSES_LABEL: &str = "other";
 
-/// A job's final answer, as the figures tell them apart.
+/// The kinds of final answers to a request that the metrics distinguish.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalAnswer {
-    /// Its connection came up.
+    /// The connection was established.
     Served,
+    /// The proxy refused the request.
     Refused,
+    /// The request failed.
     Failed,
 }
 
-/// What holds at the moment of a call.
+/// Values of the current state.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Gauges {
-    /// Jobs taken and not yet ended.
+    /// Requests that were accepted and have not ended.
     pub active_requests: usize,
-    /// Backends in the machine list.
+    /// Backends in the endpoint list.
     pub listed: usize,
-    /// Of these, the ones that the module avoids.
+    /// Number of these backends that the decision module avoids.
     pub avoided: usize,
 }
 
+/// All metrics of the process.
 pub struct Metrics {
     registry: Registry,
     classes: Vec<String>,
@@ -38,58 +42,65 @@
 }
 
 impl Metrics {
-    /// All counts at none, for these classes. The names are fixed, so that no registration can fail.
+    /// Metrics for these classes, with all counters at zero. The names are fixed, so that no registration can
+    /// fail.
     pub fn new(classes: Vec<String>) -> Result<Self, prometheus::Error> {
         let registry = Registry::new();
-        let by_class = |name: &str, help: &str| -> Result<IntCounterVec, prometheus::Error> {
-            let counter = IntCounterVec::new(Opts::new(name, help), &["type"])?;
+        let register_counter = |metric_name: &str, help: &str| -> Result<IntCounterVec, prometheus::Error> {
+            let counter = IntCounterVec::new(Opts::new(metric_name, help), &["type"])?;
             classes.iter().for_each(|class| drop(counter.with_label_values(&[class])));
             registry.register(Box::new(counter.clone()))?;
             Ok(counter)
         };
-        let gauge = |name: &str, help: &str| -> Result<IntGauge, prometheus::Error> {
-            let gauge = IntGauge::new(name, help)?;
+        let register_gauge = |metric_name: &str, help: &str| -> Result<IntGauge, prometheus::Error> {
+            let gauge = IntGauge::new(metric_name, help)?;
             registry.register(Box::new(gauge.clone()))?;
             Ok(gauge)
         };
         Ok(Metrics {
-            served: by_class("lb_success", "Connections brought up since the start.")?,
-            refused: by_class("lb_overload", "Connections refused since the start.")?,
-            failed: by_class("lb_error", "Connections failed since the start.")?,
-            attempts: by_class("lb_dispatches", "Attempts written whole to label servers since the start.")?,
-            active_requests: gauge("lb_concurrent", "Connections taken and not yet ended.")?,
-            listed: gauge("lb_targets", "Label servers in the list.")?,
-            avoided: gauge("lb_targets_disabled", "Label servers in the list that get nothing new.")?,
+            served: register_counter("lb_success", "Connections brought up since the start.")?,
+            refused: register_counter("lb_overload", "Connections refused since the start.")?,
+            failed: register_counter("lb_error", "Connections failed since the start.")?,
+            attempts: register_counter(
+                "lb_dispatches",
+                "Attempts written whole to label servers since the start.",
+            )?,
+            active_requests: register_gauge("lb_concurrent", "Connections taken and not yet ended.")?,
+            listed: register_gauge("lb_targets", "Label servers in the list.")?,
+            avoided: register_gauge(
+                "lb_targets_disabled",
+                "Label servers in the list that get nothing new.",
+            )?,
             registry,
             classes,
         })
     }
 
-    fn name(&self, class: usize) -> &str {
-        self.classes.get(class).map_or(UNNAMED, String::as_str)
+    fn class_label(&self, class: usize) -> &str {
+        self.classes.get(class).map_or(OTHER_CLASSES_LABEL, String::as_str)
     }
 
-    /// Counts a job's final answer.
+    /// Counts the final answer to a request.
     pub fn count_answer(&self, class: usize, answer: FinalAnswer) {
         let counter = match answer {
             FinalAnswer::Served => &self.served,
             FinalAnswer::Refused => &self.refused,
             FinalAnswer::Failed => &self.failed,
         };
-        counter.with_label_values(&[self.name(class)]).inc();
+        counter.with_label_values(&[self.class_label(class)]).inc();
     }
 
-    /// Counts an attempt whose last byte was written.
+    /// Counts an attempt whose request was written to the backend completely.
     pub fn count_attempt(&self, class: usize) {
-        self.attempts.with_label_values(&[self.name(class)]).inc();
+        self.attempts.with_label_values(&[self.class_label(class)]).inc();
     }
 
-    /// The figures as text.
-    pub fn encode(&self, now: Gauges) -> String {
-        self.active_requests.set(now.active_requests as i64);
-        self.listed.set(now.listed as i64);
-        self.avoided.set(now.avoided as i64);
-        // Text of counters cannot fail to be written; a page without figures would be noticed.
+    /// The metrics in Prometheus text format.
+    pub fn encode(&self, gauges: Gauges) -> String {
+        self.active_requests.set(gauges.active_requests as i64);
+        self.listed.set(gauges.listed as i64);
+        self.avoided.set(gauges.avoided as i64);
+        // Writing counters as text cannot fail, and an empty page would be noticed.
         TextEncoder::new().encode_to_string(&self.registry.gather()).unwrap_or_default()
     }
 }
@@ -99,7 +110,7 @@
     use super::*;
 
     #[test]
-    fn the_text_has_the_operators_names_and_starts_at_none() {
+    fn encoded_text_has_the_operators_names_and_counters_start_at_zero() {
         let metrics = Metrics::new(vec!["feed".into()]).unwrap();
         (0..3).for_each(|_| metrics.count_answer(0, FinalAnswer::Served));
         metrics.count_answer(0, FinalAnswer::Refused);
