--- a/crates/proxy/src/event_counts.rs
+++ b/crates/proxy/src/event_counts.rs
@@ -1,5 +1,6 @@
-//! The ledger: what passed between the core and the module in a second, counted, as one line of the log. The lines
-//! of a whole fleet can be summed second by second (`pierloom-lab ledger`), where one proxy sees too little.
+//! Counts of the events and actions that pass between the core and the decision module, logged as one line a
+//! second. `pierloom-lab ledger` sums the lines of all proxies second by second, as one proxy alone sees too
+//! little.
 
 use pierloom_decision::{
     Action, AttemptResult, BackendId, Event, ListKind, Measurement, MemberState, Micros, Settings, Status,
@@ -7,37 +8,38 @@
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 
-const SECOND: Micros = 1_000_000;
+const SECOND_US: Micros = 1_000_000;
 
-/// What the machine list says of a backend, as far as the ledger counts by it.
-struct Backend {
+/// The properties of a backend in the endpoint list that the counts depend on.
+struct ListedBackend {
     zone: u16,
-    /// When it last started; Unix time in microseconds, 0 for long ago.
+    /// Unix time of the last start in microseconds; 0 for long ago.
     started: Micros,
 }
 
-/// Counts of the second that is open. Nothing is written for a second in which nothing happened.
+/// Counts of the current second. A second without events writes no line.
 pub struct EventCounts {
     zone: u16,
-    cold: Micros,
+    slow_start_duration: Micros,
     second: u64,
     counts: BTreeMap<&'static str, u64>,
-    backends: BTreeMap<BackendId, Backend>,
-    /// When the machine list was last told, or a watch on it answered.
-    listed: Micros,
-    standing: u64,
+    backends: BTreeMap<BackendId, ListedBackend>,
+    /// When discovery last reported the endpoints or answered a watch.
+    endpoints_updated_at: Micros,
+    established: u64,
 }
 
 impl EventCounts {
+    /// Starts with the second of `now` and no counts.
     pub fn new(settings: &Settings, now: Micros) -> Self {
         EventCounts {
             zone: settings.zone,
-            cold: settings.slow_start_duration,
-            second: now / SECOND,
+            slow_start_duration: settings.slow_start_duration,
+            second: now / SECOND_US,
             counts: BTreeMap::new(),
             backends: BTreeMap::new(),
-            listed: now,
-            standing: 0,
+            endpoints_updated_at: now,
+            established: 0,
         }
     }
 
@@ -45,9 +47,9 @@
         *self.counts.entry(name).or_default() += count;
     }
 
-    /// Closes the second that is open, if `now` is past it; its line.
+    /// Ends the current second if `now` is past it, and returns its line if there are counts.
     pub fn finish_second(&mut self, now: Micros) -> Option<String> {
-        let second = std::mem::replace(&mut self.second, now / SECOND);
+        let second = std::mem::replace(&mut self.second, now / SECOND_US);
         if second == self.second || self.counts.is_empty() {
             return None;
         }
@@ -55,25 +57,25 @@
         for (name, count) in std::mem::take(&mut self.counts) {
             let _ = write!(line, " {name}={count}");
         }
-        let age = ((second + 1) * SECOND).saturating_sub(self.listed) / 1_000;
-        let _ = write!(line, " standing={} list_age_ms={age}", self.standing);
+        let age = ((second + 1) * SECOND_US).saturating_sub(self.endpoints_updated_at) / 1_000;
+        let _ = write!(line, " standing={} list_age_ms={age}", self.established);
         Some(line)
     }
 
-    /// Counts what the module is told.
+    /// Counts an event that is passed to the decision module.
     pub fn count_event(&mut self, now: Micros, event: &Event) {
         match event {
             Event::Request(_) => self.add("jobs", 1),
             Event::Resumed(..) => {
-                self.standing += 1;
+                self.established += 1;
                 self.add("resumed", 1);
             }
             Event::Established { latency, .. } => {
-                self.standing += 1;
+                self.established += 1;
                 self.add("up", 1);
                 self.add("up_wait_ms", latency / 1_000);
             }
-            Event::AttemptEnded(ended) => self.ended(ended),
+            Event::AttemptEnded(result) => self.count_attempt_end(result),
             Event::ClientGone(_) => self.add("left", 1),
             Event::Probed { status: Status::Ok, .. } => self.add("probes_answered", 1),
             Event::Probed { .. } => self.add("probes_failed", 1),
@@ -89,9 +91,9 @@
                 if !matches!(kind, ListKind::Full | ListKind::Delta) {
                     return;
                 }
-                self.listed = now;
+                self.endpoints_updated_at = now;
                 for member in members.iter().filter(|member| member.state != MemberState::Gone) {
-                    let backend = Backend { zone: member.zone, started: member.started };
+                    let backend = ListedBackend { zone: member.zone, started: member.started };
                     self.backends.insert(member.backend.clone(), backend);
                 }
             }
@@ -101,13 +103,13 @@
         }
     }
 
-    /// Counts the end of a claim, or of the connection that it had become.
-    fn ended(&mut self, ended: &AttemptResult) {
-        if ended.closed {
-            self.standing = self.standing.saturating_sub(1);
+    /// Counts the end of an attempt, or of the connection that it established.
+    fn count_attempt_end(&mut self, result: &AttemptResult) {
+        if result.closed {
+            self.established = self.established.saturating_sub(1);
         }
         self.add(
-            match (ended.closed, ended.status) {
+            match (result.closed, result.status) {
                 (true, Status::Reset) => "broken",
                 (true, _) => "over",
                 (false, Status::Overloaded) => "claims_full",
@@ -121,24 +123,26 @@
         );
     }
 
-    /// Counts what the module wants done, and for moves what it was told when it wanted them.
+    /// Counts an action of the decision module; moves are counted by the event that triggered them.
     pub fn count_action(&mut self, now: Micros, action: &Action, trigger: ActionTrigger) {
         match action {
             Action::Send { backend, .. } => {
                 self.add("claims", 1);
                 let Some(listed_backend) = self.backends.get(backend) else { return };
-                let (far, cold) =
-                    (listed_backend.zone != self.zone, listed_backend.started + self.cold > now);
-                if far {
+                let (in_other_zone, in_slow_start) = (
+                    listed_backend.zone != self.zone,
+                    listed_backend.started + self.slow_start_duration > now,
+                );
+                if in_other_zone {
                     self.add("claims_far", 1);
                 }
-                if cold {
+                if in_slow_start {
                     self.add("claims_cold", 1);
                 }
             }
             Action::Refuse { .. } => self.add("refused", 1),
             Action::Fail(_) => self.add("failed", 1),
-            Action::Move(_) => self.add(trigger.moves(), 1),
+            Action::Move(_) => self.add(trigger.moves_count_name(), 1),
             Action::Probe(_) => self.add("probes", 1),
             Action::Subscribe => self.add("list_calls", 1),
             Action::Timer(..) => {}
@@ -146,37 +150,44 @@
     }
 }
 
-/// What the module was told when it wanted something.
+/// The kind of event that triggered an action.
 #[derive(Clone, Copy)]
 pub enum ActionTrigger {
+    /// A load reported for a connection.
     Load,
+    /// A message delay measured on a connection.
     Delay,
-    Silence,
+    /// An unanswered message on a connection.
+    Unanswered,
+    /// The result of a probe.
     Report,
-    SetUp,
+    /// An established connection.
+    Established,
+    /// Any other event, such as a timer.
     Other,
 }
 
 impl ActionTrigger {
+    /// The kind of `event`.
     pub fn from_event(event: &Event) -> Self {
         match event {
             Event::Measured(_, Measurement::Load(_)) => ActionTrigger::Load,
             Event::Measured(_, Measurement::Delay(_)) => ActionTrigger::Delay,
-            Event::Measured(_, Measurement::Unanswered(_)) => ActionTrigger::Silence,
+            Event::Measured(_, Measurement::Unanswered(_)) => ActionTrigger::Unanswered,
             Event::Probed { .. } => ActionTrigger::Report,
-            Event::Established { .. } => ActionTrigger::SetUp,
+            Event::Established { .. } => ActionTrigger::Established,
             _ => ActionTrigger::Other,
         }
     }
 
-    fn moves(self) -> &'static str {
+    fn moves_count_name(self) -> &'static str {
         match self {
             ActionTrigger::Load => "moves_load",
             ActionTrigger::Delay => "moves_delay",
-            ActionTrigger::Silence => "moves_silent",
+            ActionTrigger::Unanswered => "moves_silent",
             ActionTrigger::Report => "moves_report",
-            ActionTrigger::SetUp => "moves_set_up",
-            // Only leaving backends are emptied by the clock.
+            ActionTrigger::Established => "moves_set_up",
+            // A timer moves clients only away from backends that are leaving.
             ActionTrigger::Other => "moves_leaving",
         }
     }
@@ -188,23 +199,23 @@
     use pierloom_decision::Member;
 
     #[test]
-    fn a_second_is_one_line_and_an_empty_one_none() {
-        let mut counts = EventCounts::new(&Settings::default(), 100 * SECOND);
-        let mut cold = Member::ready("n1");
-        (cold.started, cold.zone) = (99 * SECOND, 1);
-        let members = vec![cold].into();
-        counts.count_event(100 * SECOND, &Event::Members { kind: ListKind::Full, members });
+    fn a_second_with_events_yields_one_line_and_an_empty_second_none() {
+        let mut counts = EventCounts::new(&Settings::default(), 100 * SECOND_US);
+        let mut starting = Member::ready("n1");
+        (starting.started, starting.zone) = (99 * SECOND_US, 1);
+        let members = vec![starting].into();
+        counts.count_event(100 * SECOND_US, &Event::Members { kind: ListKind::Full, members });
         let send = Action::Send { id: 1, backend: "n1".into(), until: 0 };
-        counts.count_action(100 * SECOND, &send, ActionTrigger::Other);
-        counts.count_event(100 * SECOND, &Event::Established { id: 1, attempt: 0, latency: 30_000 });
-        counts.count_action(100 * SECOND, &Action::Move(1), ActionTrigger::Report);
-        assert_eq!(counts.finish_second(100 * SECOND + 999_999), None, "the second is open");
-        let line = counts.finish_second(103 * SECOND).unwrap();
+        counts.count_action(100 * SECOND_US, &send, ActionTrigger::Other);
+        counts.count_event(100 * SECOND_US, &Event::Established { id: 1, attempt: 0, latency: 30_000 });
+        counts.count_action(100 * SECOND_US, &Action::Move(1), ActionTrigger::Report);
+        assert_eq!(counts.finish_second(100 * SECOND_US + 999_999), None, "the second is open");
+        let line = counts.finish_second(103 * SECOND_US).unwrap();
         assert_eq!(
             line,
             "at=100 claims=1 claims_cold=1 claims_far=1 lists_whole=1 moves_report=1 up=1 up_wait_ms=30 \
              standing=1 list_age_ms=1000"
         );
-        assert_eq!(counts.finish_second(104 * SECOND), None, "nothing happened");
+        assert_eq!(counts.finish_second(104 * SECOND_US), None, "nothing happened");
     }
 }
