--- a/crates/pierloom/src/main.rs
+++ b/crates/pierloom/src/main.rs
@@ -1,5 +1,5 @@
 #![forbid(unsafe_code)]
-//! The real proxy: places clients' connections on backends as the decision module says.
+//! The proxy program: places clients' connections on backends as the decision module decides.
 
 mod logs;
 mod settings;
@@ -15,7 +15,7 @@
 use tokio::runtime::Runtime;
 use tokio::task::LocalSet;
 
-/// A proxy for long-lived connections, round pierloom's decision module.
+/// A proxy for long-lived connections, built around pierloom's decision module.
 #[derive(FromArgs)]
 struct Arguments {
     #[argh(subcommand)]
@@ -30,14 +30,14 @@
     Check(Check),
 }
 
-/// Serve clients until SIGTERM, as LB_CONFIG and the variables beside it say.
+/// Serve clients until SIGTERM, with the config that LB_CONFIG names and the LB_ variables that override it.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "serve")]
 struct Serve {
-    /// the settings of our own, a TOML file; the built-in ones where this is left out
+    /// pierloom's own settings file (TOML); defaults to the built-in settings
     #[argh(option)]
     settings: Option<PathBuf>,
-    /// text or json, in place of what the settings say
+    /// format of the log, text or json; overrides the settings file
     #[argh(option)]
     log_format: Option<Format>,
 }
@@ -51,41 +51,46 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 struct Check {
-    /// the config file; LB_CONFIG names it where this is left out
+    /// the config file; defaults to the one that LB_CONFIG names
     #[argh(positional)]
     config: Option<PathBuf>,
-    /// the settings of our own, a TOML file, checked too; alone, no config is asked for
+    /// pierloom's own settings file (TOML) to check as well; if no config is named, only these are checked
     #[argh(option)]
     settings: Option<PathBuf>,
 }
 
 /// Exit code for a config that cannot be used.
-const BAD_CONFIG: u8 = 2;
+const EXIT_BAD_CONFIG: u8 = 2;
 
-fn config(host: &Host, path: Option<PathBuf>) -> Result<Config, ErrorMessage> {
+/// Reads the config file at `path`, or else the one that LB_CONFIG names.
+fn read_config(host: &Host, path: Option<PathBuf>) -> Result<Config, ErrorMessage> {
     let path = path.or_else(|| host.env_var("LB_CONFIG").map(PathBuf::from));
     config::read(host, &path.ok_or("config: LB_CONFIG is not set")?)
 }
 
-fn own_settings(host: &Host, path: Option<&Path>) -> Result<Settings, ErrorMessage> {
+/// Reads the settings file, or returns the built-in settings if there is none.
+fn read_own_settings(host: &Host, path: Option<&Path>) -> Result<Settings, ErrorMessage> {
     path.map_or_else(|| Ok(Settings::default()), |path| Settings::read(host, path))
 }
 
-fn check(host: &Host, check: Check) -> Result<String, ErrorMessage> {
-    own_settings(host, check.settings.as_deref())?;
-    match check.settings {
-        Some(path) if check.config.is_none() && host.env_var("LB_CONFIG").is_none() => {
+/// Checks the files that the command names; returns the line to print.
+fn check(host: &Host, options: Check) -> Result<String, ErrorMessage> {
+    read_own_settings(host, options.settings.as_deref())?;
+    match options.settings {
+        Some(path) if options.config.is_none() && host.env_var("LB_CONFIG").is_none() => {
             Ok(format!("good: {}", path.display()))
         }
         _ => {
-            let config = config(host, check.config)?;
-            let doubts: String = config.names.warnings.iter().map(|doubt| format!("; {doubt}")).collect();
-            Ok(format!("good: {} would listen on {}{doubts}", config.name, config.listen))
+            let config = read_config(host, options.config)?;
+            let warnings: String =
+                config.names.warnings.iter().map(|warning| format!("; {warning}")).collect();
+            Ok(format!("good: {} would listen on {}{warnings}", config.name, config.listen))
         }
     }
 }
 
-/// Installs the handlers of signals first, as whatever comes before would be ended by one.
+/// Starts the runtime and installs the signal handlers. This comes first, as a signal without a handler ends
+/// the process.
 fn prepare(host: &Host) -> Result<(Runtime, SignalHandlers), ErrorMessage> {
     let build = || tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = retry_with_backoff_blocking(build).map_err(|e| format!("runtime: {e}"))?;
@@ -96,23 +101,24 @@
     Ok((runtime, handlers))
 }
 
-fn serve(host: &Host, asked: &Serve) -> Result<ExitCode, ErrorMessage> {
+fn serve(host: &Host, options: &Serve) -> Result<ExitCode, ErrorMessage> {
     let (runtime, handlers) = prepare(host)?;
-    let read = own_settings(host, asked.settings.as_deref())
-        .and_then(|settings| Ok((settings, config(host, None)?)));
+    let read = read_own_settings(host, options.settings.as_deref())
+        .and_then(|settings| Ok((settings, read_config(host, None)?)));
     let (mut settings, config) = match read {
         Ok(read) => read,
-        Err(fault) => return Ok(complain(&fault, BAD_CONFIG)),
+        Err(error) => return Ok(report_error(&error, EXIT_BAD_CONFIG)),
     };
-    settings.log.format = asked.log_format.unwrap_or(settings.log.format);
+    settings.log.format = options.log_format.unwrap_or(settings.log.format);
     logs::start(&settings.log);
-    let parts = Components::from_config(&config)?;
-    LocalSet::new().block_on(&runtime, pierloom_proxy::run(host.clone(), handlers, config, parts))?;
+    let components = Components::from_config(&config)?;
+    LocalSet::new().block_on(&runtime, pierloom_proxy::run(host.clone(), handlers, config, components))?;
     Ok(ExitCode::SUCCESS)
 }
 
-fn complain(fault: &str, code: u8) -> ExitCode {
-    eprintln!("pierloom: {fault}");
+/// Prints an error message and returns the exit code.
+fn report_error(error: &str, code: u8) -> ExitCode {
+    eprintln!("pierloom: {error}");
     ExitCode::from(code)
 }
 
@@ -124,13 +130,13 @@
             println!("pierloom {}", env!("CARGO_PKG_VERSION"));
             ExitCode::SUCCESS
         }
-        Command::Check(asked) => match check(&host, asked) {
-            Ok(good) => {
-                println!("{good}");
+        Command::Check(options) => match check(&host, options) {
+            Ok(message) => {
+                println!("{message}");
                 ExitCode::SUCCESS
             }
-            Err(fault) => complain(&fault, BAD_CONFIG),
+            Err(error) => report_error(&error, EXIT_BAD_CONFIG),
         },
-        Command::Serve(asked) => serve(&host, &asked).unwrap_or_else(|fault| complain(&fault, 1)),
+        Command::Serve(options) => serve(&host, &options).unwrap_or_else(|error| report_error(&error, 1)),
     }
 }
