--- a/crates/pierloom/src/settings.rs
+++ b/crates/pierloom/src/settings.rs
@@ -1,18 +1,21 @@
-//! The settings of our own, a TOML file that an installation may leave out. What the platform's config says is
-//! not said here again.
+//! Pierloom's own settings, an optional TOML file. Values of the platform's config are not repeated in this
+//! file.
 
 use pierloom_host::Host;
 use serde::Deserialize;
 use std::path::Path;
 
-/// The form of the log.
+const DEFAULT_LINES_PER_SECOND: u32 = 50;
+const MAX_LINES_PER_SECOND: u32 = 100_000;
+
+/// The format of the log.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Format {
-    /// Lines for people.
+    /// Plain text lines.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
@@ -28,7 +31,7 @@
     }
 }
 
-/// The least severe events that are logged.
+/// The lowest severity that is logged.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Level {
@@ -40,23 +43,24 @@
     Trace,
 }
 
-/// The log, on standard error.
+/// Settings of the log on standard error.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Log {
     pub format: Format,
     pub level: Level,
-    /// Most lines in a second; what is left out is counted in a line of its own. 1 to 100,000.
+    /// Maximum number of lines per second, 1 to 100,000. The number of omitted lines is logged in a separate
+    /// line.
     pub lines_per_second: u32,
 }
 
 impl Default for Log {
     fn default() -> Self {
-        Log { format: Format::default(), level: Level::default(), lines_per_second: 50 }
+        Log { format: Format::default(), level: Level::default(), lines_per_second: DEFAULT_LINES_PER_SECOND }
     }
 }
 
-/// All settings of our own.
+/// All of pierloom's own settings.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Settings {
@@ -64,26 +68,35 @@
 }
 
 impl Settings {
-    /// Reads a file; a fault is one line that names file, line and what is wrong there.
+    /// Reads a settings file. An error is one line that names the file, the line in it and the problem.
     pub fn read(host: &Host, path: &Path) -> Result<Self, String> {
-        let named = |fault: String| format!("settings {}: {fault}", path.display());
-        let bytes = host.read_file(path).map_err(|e| named(e.to_string()))?;
-        let text = String::from_utf8(bytes).map_err(|_| named("not UTF-8".into()))?;
-        let line = |at: usize| text[..at].matches('\n').count() + 1;
-        let deserializer = toml::Deserializer::parse(&text)
-            .map_err(|e| named(format!("line {}: {}", line(e.span().map_or(0, |s| s.start)), plain(&e))))?;
+        let with_path = |error: String| format!("settings {}: {error}", path.display());
+        let bytes = host.read_file(path).map_err(|e| with_path(e.to_string()))?;
+        let text = String::from_utf8(bytes).map_err(|_| with_path("not UTF-8".into()))?;
+        let line_number = |offset: usize| text[..offset].matches('\n').count() + 1;
+        let deserializer = toml::Deserializer::parse(&text).map_err(|e| {
+            with_path(format!("line {}: {}", line_number(e.span().map_or(0, |s| s.start)), one_line(&e)))
+        })?;
         let settings: Settings = serde_path_to_error::deserialize(deserializer).map_err(|e| {
             let (key, inner) = (e.path().to_string(), e.into_inner());
-            named(format!("line {}: {key}: {}", line(inner.span().map_or(0, |s| s.start)), plain(&inner)))
+            with_path(format!(
+                "line {}: {key}: {}",
+                line_number(inner.span().map_or(0, |s| s.start)),
+                one_line(&inner)
+            ))
         })?;
-        if !(1..=100_000).contains(&settings.log.lines_per_second) {
-            let at = text.find("lines_per_second").unwrap_or(0);
-            return Err(named(format!("line {}: log.lines_per_second: not within 1 to 100000", line(at))));
+        if !(1..=MAX_LINES_PER_SECOND).contains(&settings.log.lines_per_second) {
+            let offset = text.find("lines_per_second").unwrap_or(0);
+            return Err(with_path(format!(
+                "line {}: log.lines_per_second: not within 1 to 100000",
+                line_number(offset)
+            )));
         }
         Ok(settings)
     }
 }
 
-fn plain(fault: &toml::de::Error) -> String {
-    fault.message().replace('\n', " ")
+/// The message of a TOML error on one line.
+fn one_line(error: &toml::de::Error) -> String {
+    error.message().replace('\n', " ")
 }
