--- a/crates/pierloom/src/logs.rs
+++ b/crates/pierloom/src/logs.rs
@@ -1,5 +1,5 @@
-//! The log: structured events on standard error, bounded under a flood.
-#![allow(clippy::disallowed_types, clippy::disallowed_methods)] // its own seconds, outside the proxy
+//! The log: structured events on standard error, with a limit on the number of lines per second.
+#![allow(clippy::disallowed_types, clippy::disallowed_methods)] // seconds of the real clock; outside the proxy
 
 use crate::settings::{Format, Level, Log};
 use std::io::{self, Write};
@@ -8,7 +8,7 @@
 use tracing::level_filters::LevelFilter;
 use tracing_subscriber::fmt::{MakeWriter, fmt};
 
-/// Sends what is traced to standard error from here on.
+/// Starts to write traced events to standard error.
 pub fn start(log: &Log) {
     let level = match log.level {
         Level::Error => LevelFilter::ERROR,
@@ -17,63 +17,67 @@
         Level::Debug => LevelFilter::DEBUG,
         Level::Trace => LevelFilter::TRACE,
     };
-    let bounded = Bounded { most: log.lines_per_second, second: Mutex::default(), since: Instant::now() };
-    let subscriber = fmt().with_max_level(level).with_writer(bounded);
+    let writer = RateLimitedLog {
+        max_lines_per_second: log.lines_per_second,
+        current: Mutex::default(),
+        started_at: Instant::now(),
+    };
+    let subscriber = fmt().with_max_level(level).with_writer(writer);
     match log.format {
         Format::Text => subscriber.init(),
         Format::Json => subscriber.json().init(),
     }
 }
 
-/// The second that is counted: its number, the lines written in it and the lines left out.
+/// The current second: its number, the lines written in it, and the lines omitted since the last written one.
 #[derive(Default)]
-struct Second {
+struct LineCounts {
     number: u64,
     written: u32,
-    left_out: u64,
+    omitted: u64,
 }
 
-/// Lets so many lines through in a second.
-struct Bounded {
-    most: u32,
-    second: Mutex<Second>,
-    since: Instant,
+/// A writer that passes a limited number of lines per second.
+struct RateLimitedLog {
+    max_lines_per_second: u32,
+    current: Mutex<LineCounts>,
+    started_at: Instant,
 }
 
-impl Bounded {
-    /// Whether a line of now goes through, and how many were left out since the last one that did.
+impl RateLimitedLog {
+    /// Returns whether a line may be written now, and how many lines were omitted since the last written one.
     fn admit(&self) -> (bool, u64) {
-        let number = self.since.elapsed().as_secs();
-        let mut second = self.second.lock().unwrap_or_else(PoisonError::into_inner);
-        if second.number != number {
-            (second.number, second.written) = (number, 0);
+        let number = self.started_at.elapsed().as_secs();
+        let mut current = self.current.lock().unwrap_or_else(PoisonError::into_inner);
+        if current.number != number {
+            (current.number, current.written) = (number, 0);
         }
-        if second.written == self.most {
-            second.left_out += 1;
+        if current.written == self.max_lines_per_second {
+            current.omitted += 1;
             return (false, 0);
         }
-        second.written += 1;
-        (true, std::mem::take(&mut second.left_out))
+        current.written += 1;
+        (true, std::mem::take(&mut current.omitted))
     }
 }
 
-impl<'a> MakeWriter<'a> for Bounded {
-    type Writer = Through;
+impl<'a> MakeWriter<'a> for RateLimitedLog {
+    type Writer = EventWriter;
 
-    fn make_writer(&'a self) -> Through {
-        let (through, left_out) = self.admit();
-        if left_out > 0 {
-            // A log that cannot be written cannot be complained about either.
-            let _ = writeln!(io::stderr(), "{left_out} lines were left out");
+    fn make_writer(&'a self) -> EventWriter {
+        let (admitted, omitted) = self.admit();
+        if omitted > 0 {
+            // A failure to write the log cannot be logged either.
+            let _ = writeln!(io::stderr(), "{omitted} lines were left out");
         }
-        Through(through)
+        EventWriter(admitted)
     }
 }
 
-/// One event's way out, or nowhere.
-struct Through(bool);
+/// Writes one event if it is within the limit, and discards it otherwise.
+struct EventWriter(bool);
 
-impl Write for Through {
+impl Write for EventWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         if self.0 { io::stderr().write(bytes) } else { Ok(bytes.len()) }
     }
