--- a/crates/world/src/observer.rs
+++ b/crates/world/src/observer.rs
@@ -1,5 +1,7 @@
-//! The rules, checked from what crosses the sockets and from what the world knows of its own parties. It never
-//! looks into a proxy.
+//! Checks the rules of a run from outside the proxies.
+//!
+//! The observer sees the bytes, ends and resets on the network and the true state of the simulated parties.
+//! It never reads the state of a proxy.
 
 use crate::net::Segment;
 use crate::sim::{EPOCH, ProcessId};
@@ -8,64 +10,68 @@
 use std::collections::{BTreeMap, VecDeque};
 use xxhash_rust::xxh3::Xxh3;
 
-/// What every time limit is longer by on sockets.
-const GRACE: Micros = 50_000;
-/// Nothing new goes to an execute node this long after a proxy was told that it drains or is gone.
-const DRAIN: Micros = 1_000_000;
-/// A line may be held back this long.
-const HELD: Micros = 1_000_000;
-/// An end is passed on within this.
-const END: Micros = 1_000_000;
-/// A silent execute node's connections are moved within this.
-const SILENT: Micros = 7_000_000;
-/// The next call of a watch comes within this.
-const WATCH: Micros = 200_000;
-/// A call comes this long after the one before at the latest, whatever became of that: the longest hold of ten
-/// seconds, what a proxy may wait beyond it, and its longest pause.
-const ASKED: Micros = 18_000_000;
-/// A proxy calls discovery no more often than this, beside one call for each change; calls in a second.
-const CALLS: usize = 12;
-/// A bad submitter has its error or its close within this.
-const BAD: Micros = 3_000_000;
-/// How often what did not happen is looked for.
-const SWEEP: Micros = 250_000;
-/// Crossings that are kept to show what led to a breach, and how many of them are shown.
-const KEPT: usize = 4_000;
-const SHOWN: usize = 14;
-/// Bytes of a crossing that are kept.
-const HEAD: usize = 48;
-
-/// What becomes of everything that crosses the sockets, beside its check.
+/// Tolerance added to each time limit.
+const GRACE_US: Micros = 50_000;
+/// A proxy may start attempts at a backend for this long after discovery reported the backend as draining or
+/// gone.
+const DRAIN_WINDOW_US: Micros = 1_000_000;
+/// Longest delay of a line between its arrival at a proxy and its departure.
+const MAX_LINE_DELAY_US: Micros = 1_000_000;
+/// Longest delay before a proxy passes on the end of a stream.
+const MAX_END_DELAY_US: Micros = 1_000_000;
+/// A proxy moves a connection within this time after a line that the backend has not answered.
+const MAX_SILENCE_US: Micros = 7_000_000;
+/// Longest time between a discovery response and the next call of the watch.
+const MAX_WATCH_GAP_US: Micros = 200_000;
+/// Longest time between two discovery calls of a proxy, whatever the result of the first.
+///
+/// It covers the longest hold of ten seconds, the time that a proxy may wait beyond it, and its longest
+/// pause.
+const MAX_CALL_INTERVAL_US: Micros = 18_000_000;
+/// Most discovery calls of a proxy in a second, not counting one call for each change.
+const MAX_CALLS_PER_SECOND: usize = 12;
+/// A proxy sends an error to a misbehaving client, or closes its connection, within this time.
+const MISBEHAVIOR_DEADLINE_US: Micros = 3_000_000;
+/// Interval of the checks for missing events.
+const OVERDUE_CHECK_INTERVAL_US: Micros = 250_000;
+/// Number of network events that are kept to show what preceded a violation.
+const MAX_RECENT_EVENTS: usize = 4_000;
+/// Number of preceding events that a violation shows.
+const MAX_SHOWN_EVENTS: usize = 14;
+/// Number of leading bytes that are kept of each segment.
+const PAYLOAD_PREFIX_BYTES: usize = 48;
+
+/// What the observer does with each network event, apart from checking it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Trace {
-    /// Nothing.
+    /// Does not record the event.
     #[default]
     None,
-    /// It is printed.
+    /// Prints the event.
     Print,
-    /// It is kept in words.
+    /// Appends the event as text to `trace_lines`.
     Keep,
 }
 
-/// What a process is to the rules.
+/// The part that a process plays in a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// A proxy, by its place in the script.
+    /// A proxy, with its index in the script.
     Proxy(usize),
-    /// An execute node, by its place.
+    /// A backend, with its index in the script.
     Backend(usize),
-    /// A submitter, by its place; one that is bad, or that reads slowly.
+    /// A client.
     Client {
-        /// Its place.
+        /// Index in the script.
         index: usize,
-        /// It keeps no protocol and is owed an error or a close.
+        /// The client breaks the protocol and must receive an error or a close.
         bad: bool,
-        /// It reads when it likes, so that lines to it may wait.
+        /// The client reads with pauses, so that lines to the client may be delayed.
         slow: bool,
     },
-    /// The service of the machine list.
+    /// The discovery service.
     Discovery,
-    /// Anybody else.
+    /// Any other process.
     Other,
 }
 
@@ -73,82 +79,87 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, serde::Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// A job without its final answer in time.
+    /// A request gets no final answer by its deadline, or its connection ends before the answer.
     Unanswered,
-    /// Anything after a final answer.
+    /// A proxy sends a second answer line after a final answer.
     AnsweredTwice,
-    /// Two claims of a job out at once.
+    /// Two attempts of one request are in progress at the same time.
     TwoClaims,
-    /// Something new to an execute node after its drain window.
+    /// A proxy starts an attempt later than the drain window after discovery reported the backend as draining
+    /// or gone.
     DrainWindow,
-    /// A cold execute node sent over its multiple.
+    /// A backend in slow start receives more requests within the overload window than its overload multiple
+    /// allows.
     ColdOverrun,
-    /// Served with what no execute node sent, or a first line that no submitter sent.
+    /// A proxy sends an UP line that no backend sent, sends a backend a first line that no client sent, or
+    /// serves a misbehaving client.
     MadeUp,
-    /// Bytes changed on a connection that stands.
+    /// Bytes are changed on an established connection.
     Changed,
-    /// A connection cut off without MOVE while its execute node answers.
+    /// A proxy closes an established connection without MOVE although the backend is reachable and has not
+    /// ended it.
     Cut,
-    /// A line held back.
+    /// A proxy relays a line too late or not at all.
     HeldBack,
-    /// An end not passed on in time.
+    /// The end of a stream is not passed on in time.
     EndKept,
-    /// A silent execute node's connection kept.
+    /// A proxy does not move a connection whose backend has sent no line back for too long.
     SilentKept,
-    /// A watch not carried on in time.
+    /// A proxy makes its next discovery call too late.
     WatchGap,
-    /// Discovery called too often.
+    /// A proxy calls discovery too often.
     Hammering,
-    /// A bad submitter without its error or close in time.
+    /// A misbehaving client gets neither an error nor a close in time.
     BadUnanswered,
-    /// Tasks, descriptors or connections left over at the end.
+    /// Tasks, descriptors or connections remain at the end of a run.
     LeftOver,
-    /// A panic.
+    /// A panic occurs on the thread of the run.
     Panic,
-    /// The proxy ended without being told to, or would not end.
+    /// A proxy exits without a stop request, or does not exit in time after one.
     Exit,
-    /// The proxy never comes to rest within one instant.
+    /// The run never comes to rest within one instant of virtual time.
     Restless,
 }
 
-/// A broken rule.
+/// A violation of a rule.
 #[derive(Clone, Debug, serde::Serialize)]
 pub struct Violation {
-    /// The rule.
+    /// Rule that was broken.
     pub rule: Rule,
-    /// When, since the start of the run; microseconds.
+    /// Time since the start of the run.
     pub at: Micros,
-    /// Who, and how.
+    /// Description of the violation and the names of the parties.
     pub what: String,
-    /// The last crossings that concern the parties.
+    /// Last network events between the parties, as text.
     #[serde(rename = "led_to")]
     pub preceding_events: Vec<String>,
 }
 
-/// What a run held.
+/// Counts of a run.
 #[derive(Clone, Copy, Debug, Default, serde::Serialize)]
 pub struct Counts {
     /// Connections opened.
     pub connections: u64,
-    /// Jobs whose opening reached a proxy.
+    /// Requests whose complete request line reached a proxy.
     #[serde(rename = "jobs")]
     pub requests: u64,
-    /// Of them, served, refused and failed.
+    /// Requests that were served.
     pub served: u64,
-    /// Refused.
+    /// Requests that were refused.
     pub refused: u64,
-    /// Failed.
+    /// Requests that failed.
     pub failed: u64,
-    /// Claims sent to execute nodes.
+    /// Attempts sent to backends.
     #[serde(rename = "claims")]
     pub attempts: u64,
-    /// Moves.
+    /// MOVE lines that proxies sent of their own accord.
     pub moves: u64,
-    /// Crossings: bytes, ends and resets, sent or arrived.
+    /// Network events: connections opened; bytes, ends and resets sent or arrived.
     #[serde(rename = "crossings")]
     pub network_events: u64,
 }
 
+/// Stage of a network event.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Phase {
     Opened,
@@ -156,218 +167,242 @@
     Arrived,
 }
 
+/// One event on the simulated network.
 struct NetworkEvent {
     at: Micros,
     connection: usize,
-    /// Whose doing: 0 for the side that connected.
+    /// End of the connection that caused the event: 0 for the one that connected, 1 for the one that
+    /// accepted.
     end: usize,
     phase: Phase,
-    what: Shape,
+    payload: Payload,
 }
 
+/// Content of a network event.
 #[derive(Clone, Copy)]
-enum Shape {
-    Bytes(usize, [u8; HEAD]),
+enum Payload {
+    /// Number of bytes, and the first of them.
+    Bytes(usize, [u8; PAYLOAD_PREFIX_BYTES]),
     Fin,
     Reset,
     None,
 }
 
-/// Bytes that came and have not gone out on the other side yet.
+/// Bytes that a proxy has received on one side and not yet sent on the other.
 #[derive(Default)]
-struct Passing {
+struct BytesInTransit {
+    /// Received chunks with the time of their arrival.
     chunks: VecDeque<(Micros, VecDeque<u8>)>,
-    /// The last byte that went out ended a line.
-    between: bool,
+    /// The last byte sent ended a line.
+    at_line_start: bool,
 }
 
-impl Passing {
-    fn came(&mut self, at: Micros, bytes: &[u8]) {
+impl BytesInTransit {
+    fn push(&mut self, at: Micros, bytes: &[u8]) {
         self.chunks.push_back((at, bytes.iter().copied().collect()));
     }
 
-    /// Takes that byte if it is the next.
-    fn take(&mut self, byte: u8) -> bool {
-        let Some((_, first)) = self.chunks.front_mut() else { return false };
-        if first.front() != Some(&byte) {
+    /// Removes the next byte if it equals `byte`; returns whether it does.
+    fn take_next(&mut self, byte: u8) -> bool {
+        let Some((_, chunk)) = self.chunks.front_mut() else { return false };
+        if chunk.front() != Some(&byte) {
             return false;
         }
-        first.pop_front();
-        if first.is_empty() {
+        chunk.pop_front();
+        if chunk.is_empty() {
             self.chunks.pop_front();
         }
-        self.between = byte == b'\n';
+        self.at_line_start = byte == b'\n';
         true
     }
 
-    /// Since when a whole line waits.
-    fn oldest_line(&self) -> Option<Micros> {
-        let whole = self.chunks.iter().any(|(_, bytes)| bytes.contains(&b'\n'));
-        self.chunks.front().map(|(at, _)| *at).filter(|_| whole)
+    /// Arrival time of the oldest byte, if a complete line is waiting.
+    fn oldest_line_at(&self) -> Option<Micros> {
+        let has_line = self.chunks.iter().any(|(_, bytes)| bytes.contains(&b'\n'));
+        self.chunks.front().map(|(at, _)| *at).filter(|_| has_line)
     }
 }
 
-/// A connection between a submitter and a proxy.
+/// State of a connection from a client to a proxy.
 #[derive(Default)]
-struct Submission {
+struct ClientConnection {
     proxy: usize,
-    bad: bool,
-    slow: bool,
+    misbehaving: bool,
+    slow_reader: bool,
     opened_at: Micros,
-    line: Vec<u8>,
+    /// Bytes received before the request line is complete.
+    received: Vec<u8>,
+    /// Time of the client's last send.
     sent_at: Micros,
-    /// The job's id, when its last byte came and until when it waits.
+    /// Request id, time at which the request line was complete at the proxy, and deadline of the answer.
     request: Option<(String, Micros, Micros)>,
-    first_line: Vec<u8>,
-    /// What the proxy has written of the line it is writing.
-    answer: Vec<u8>,
-    answers: u32,
-    up: bool,
+    request_line: Vec<u8>,
+    /// Start of an answer line that the proxy has not completed yet.
+    partial_answer: Vec<u8>,
+    answer_count: u32,
+    established: bool,
     moved: bool,
-    moving: usize,
-    /// The submitter's end arrived at the proxy.
-    left: Option<Micros>,
-    /// The proxy ended it.
-    ended: Option<Micros>,
+    /// Number of bytes of the proxy's own MOVE line sent; more than its length after other unexpected bytes.
+    move_bytes_sent: usize,
+    /// Time at which the client's end of stream or reset arrived at the proxy.
+    client_ended_at: Option<Micros>,
+    /// Time at which the proxy ended the connection.
+    proxy_ended_at: Option<Micros>,
+    /// Connection of the latest attempt.
     attempt: Option<usize>,
-    up_passing: Passing,
-    down_passing: Passing,
-    /// When each line went up that has no line back yet.
-    waiting: VecDeque<Micros>,
+    /// Bytes from the client to the backend.
+    upstream_bytes: BytesInTransit,
+    /// Bytes from the backend to the client.
+    downstream_bytes: BytesInTransit,
+    /// Send time of each line to the backend that no line from the backend has answered yet.
+    unanswered_lines: VecDeque<Micros>,
 }
 
-/// A connection between a proxy and an execute node.
+/// State of a connection from a proxy to a backend.
 #[derive(Default)]
 struct Attempt {
     proxy: usize,
     backend: usize,
-    first: Vec<u8>,
-    first_whole: bool,
-    id: Option<String>,
-    submission: Option<usize>,
-    /// The execute node's end arrived at the proxy.
-    gone: Option<Micros>,
-    /// The proxy ended its side.
-    ended: bool,
-    came: Vec<u8>,
-    said_end: bool,
+    first_line: Vec<u8>,
+    first_line_complete: bool,
+    request_id: Option<String>,
+    client_connection: Option<usize>,
+    /// Time at which the backend's end of stream or reset arrived at the proxy.
+    backend_ended_at: Option<Micros>,
+    /// The proxy ended its side of the connection.
+    proxy_ended: bool,
+    /// Bytes from the backend; only the last few once the connection is established.
+    received: Vec<u8>,
+    /// The backend's last line was BYE or MOVE.
+    end_announced: bool,
 }
 
-/// A connection between a proxy and discovery.
+/// State of a connection from a proxy to discovery.
 #[derive(Default)]
-struct Call {
+struct DiscoveryCall {
     proxy: usize,
     request: Vec<u8>,
-    answer: Vec<u8>,
-    /// The call that is out asks for the whole list.
-    whole: bool,
-    /// Its number among the calls of that proxy.
+    response: Vec<u8>,
+    /// The call in progress asks for a snapshot.
+    wants_snapshot: bool,
+    /// Number of the call in progress, counted per proxy.
     number: u64,
 }
 
-enum Kind {
-    Submission(Submission),
+enum ConnectionKind {
+    Client(ClientConnection),
     Attempt(Attempt),
-    Call(Call),
+    DiscoveryCall(DiscoveryCall),
     Other,
 }
 
-struct Line {
+/// One connection between two processes.
+struct Connection {
     from: ProcessId,
     to: ProcessId,
-    kind: Kind,
+    kind: ConnectionKind,
 }
 
+/// Observed state of a proxy.
 #[derive(Default)]
 struct Proxy {
     process: ProcessId,
     running: bool,
-    /// When it was told to stop.
-    stopping: Option<Micros>,
-    told: BTreeMap<usize, Micros>,
-    /// Since when each execute node runs, as it was told.
-    starts: BTreeMap<usize, Micros>,
-    answered_at: Option<Micros>,
-    /// Calls to discovery so far.
-    called: u64,
-    /// When it last asked discovery, or started or was told where discovery is.
-    asked_at: Micros,
-    calls: VecDeque<Micros>,
-    changes: VecDeque<Micros>,
+    /// Time of the stop request.
+    stop_requested_at: Option<Micros>,
+    /// Time at which discovery reported each backend to the proxy as draining or gone.
+    removal_reported_at: BTreeMap<usize, Micros>,
+    /// Start time of each backend, as discovery reported it to the proxy.
+    reported_starts: BTreeMap<usize, Micros>,
+    /// Time of the last discovery response, while the next call is due.
+    watch_answered_at: Option<Micros>,
+    /// Number of discovery calls so far.
+    call_count: u64,
+    /// Time of the last discovery call or connection attempt to discovery, or of the start of the proxy.
+    last_call_at: Micros,
+    /// Times of the discovery calls of the last second.
+    recent_calls: VecDeque<Micros>,
+    /// Times of the discovery responses of the last second that reported changes.
+    recent_changes: VecDeque<Micros>,
+    /// Connection of the latest attempt of each request.
     attempts: BTreeMap<String, usize>,
+    /// Client connection of each request.
     requests: BTreeMap<String, usize>,
 }
 
-/// What the world knows of an execute node.
+/// True state of a backend.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BackendState {
-    /// It runs and is not cut off.
+    /// The backend runs and is reachable.
     pub answers: bool,
-    /// When it started, if it started cold.
+    /// Time of the start, if the backend started with slow start.
     pub cold_since: Option<Micros>,
-    /// Connections a second whose load fills it, when warm.
+    /// New connections per second whose load reaches the backend's capacity after slow start.
     pub rate: f64,
 }
 
-/// The figures of the fourth rule.
+/// Parameters of the rule on backends in slow start (`Rule::ColdOverrun`).
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStartRule {
-    /// Share of its capacity at the start.
+    /// Share of the capacity at the start.
     pub from: f64,
-    /// Warm after this; microseconds.
+    /// Duration of slow start.
     pub warm: Micros,
-    /// Falls over beyond this multiple...
+    /// A backend overloads beyond this multiple of its current capacity...
     pub multiple: f64,
-    /// ...over this time; microseconds.
+    /// ...over this time.
     pub fall: Micros,
 }
 
+/// Observed state of a backend.
 #[derive(Default)]
 struct Backend {
-    truth: BackendState,
-    /// Openings that reached it: when, and whether the proxy had been told of its start.
-    reached: VecDeque<(Micros, bool)>,
+    state: BackendState,
+    /// Requests that reached the backend in slow start: time, and whether discovery had reported the
+    /// backend's start to the proxy.
+    recent_requests: VecDeque<(Micros, bool)>,
 }
 
-/// Watches a run.
+/// Checks the rules during a run.
 pub struct Observer {
-    cold: SlowStartRule,
+    slow_start_rule: SlowStartRule,
     roles: Vec<(Role, String)>,
-    lines: Vec<Line>,
-    live: Vec<usize>,
+    connections: Vec<Connection>,
+    /// Connections of clients and attempts that are not ended, except those already reported.
+    open_connections: Vec<usize>,
     proxies: Vec<Proxy>,
     backends: Vec<Backend>,
-    names: BTreeMap<String, usize>,
-    kept: VecDeque<NetworkEvent>,
+    backend_indices: BTreeMap<String, usize>,
+    recent_events: VecDeque<NetworkEvent>,
     digest: Xxh3,
-    next_sweep: Micros,
+    next_check_at: Micros,
     now: Micros,
     trace: Trace,
-    /// Every crossing in words, where it was asked for.
+    /// All network events as text, with `Trace::Keep`.
     pub trace_lines: Vec<String>,
-    /// Broken rules, in order; at most a few of each run are kept.
+    /// Violations in order of time; at most `MAX_VIOLATIONS`.
     pub violations: Vec<Violation>,
-    /// What the run held.
+    /// Counts of the run.
     pub counts: Counts,
 }
 
-/// Most breaches that a run keeps.
+/// Most violations that a run keeps.
 const MAX_VIOLATIONS: usize = 20;
 
 impl Observer {
-    /// An observer of that many proxies and of execute nodes of those names.
-    pub fn new(proxies: usize, backends: &[String], cold: SlowStartRule, trace: Trace) -> Self {
+    /// Creates an observer for `proxies` proxies and for the named backends.
+    pub fn new(proxies: usize, backends: &[String], slow_start_rule: SlowStartRule, trace: Trace) -> Self {
         Observer {
-            cold,
+            slow_start_rule,
             roles: Vec::new(),
-            lines: Vec::new(),
-            live: Vec::new(),
+            connections: Vec::new(),
+            open_connections: Vec::new(),
             proxies: (0..proxies).map(|_| Proxy::default()).collect(),
             backends: backends.iter().map(|_| Backend::default()).collect(),
-            names: backends.iter().cloned().enumerate().map(|(i, name)| (name, i)).collect(),
-            kept: VecDeque::new(),
+            backend_indices: backends.iter().cloned().enumerate().map(|(i, name)| (name, i)).collect(),
+            recent_events: VecDeque::new(),
             digest: Xxh3::new(),
-            next_sweep: EPOCH + SWEEP,
+            next_check_at: EPOCH + OVERDUE_CHECK_INTERVAL_US,
             now: EPOCH,
             trace,
             trace_lines: Vec::new(),
@@ -376,93 +411,105 @@
         }
     }
 
-    /// One hash of everything that crossed the sockets so far, with its times.
+    /// Returns a hash of all network events so far and of their times.
     pub fn digest(&self) -> u64 {
         self.digest.digest()
     }
 
-    /// Says what the process of that number is.
+    /// Registers the role and the name of a process.
     pub fn register_process(&mut self, process: ProcessId, role: Role, name: &str) {
         self.roles.resize(self.roles.len().max(process + 1), (Role::Other, String::new()));
         self.roles[process] = (role, name.to_string());
         if let Role::Proxy(i) = role {
-            self.proxies[i] = Proxy { process, running: true, asked_at: self.now, ..Proxy::default() };
+            self.proxies[i] = Proxy { process, running: true, last_call_at: self.now, ..Proxy::default() };
         }
     }
 
-    /// What is true of an execute node from now on.
-    pub fn backend(&mut self, index: usize, truth: BackendState) {
-        if truth.cold_since != self.backends[index].truth.cold_since {
-            self.backends[index].reached.clear();
+    /// Sets the true state of a backend from now on.
+    pub fn backend(&mut self, index: usize, state: BackendState) {
+        if state.cold_since != self.backends[index].state.cold_since {
+            self.backends[index].recent_requests.clear();
         }
-        self.backends[index].truth = truth;
+        self.backends[index].state = state;
     }
 
-    /// SIGTERM goes to that proxy.
+    /// Records that SIGTERM is sent to a proxy.
     pub fn stop_requested(&mut self, proxy: usize) {
-        self.proxies[proxy].stopping = Some(self.now);
+        self.proxies[proxy].stop_requested_at = Some(self.now);
     }
 
-    /// SIGHUP goes to that proxy, and its discovery moves: the old watch ends there.
+    /// Records that SIGHUP is sent to a proxy and that its discovery service moves, which ends the watch
+    /// there.
     pub fn reload_requested(&mut self, proxy: usize) {
-        self.proxies[proxy].answered_at = None;
+        self.proxies[proxy].watch_answered_at = None;
     }
 
-    /// That proxy ended by itself; it holds nothing that it should have moved or answered.
+    /// Records that a proxy exited by itself; checks that it has moved its connections and answered its
+    /// requests.
     pub fn exited(&mut self, proxy: usize) {
-        if self.proxies[proxy].stopping.is_none() {
-            self.record_violation(Rule::Exit, None, format!("proxy {proxy} ended without being told to"));
+        if self.proxies[proxy].stop_requested_at.is_none() {
+            self.record_violation(Rule::Exit, None, format!("proxy {proxy} exited without a stop request"));
         }
-        self.abandoned(proxy, "ended by itself");
+        self.check_abandoned_connections(proxy, "exited");
     }
 
-    /// That proxy is killed after a planned stop that it did not finish.
+    /// Records that a proxy is killed because it did not exit in time after a stop request.
     pub fn exit_overdue(&mut self, proxy: usize) {
-        self.record_violation(Rule::Exit, None, format!("proxy {proxy} still runs when the kill comes"));
-        self.abandoned(proxy, "was killed after its stop");
+        self.record_violation(
+            Rule::Exit,
+            None,
+            format!("proxy {proxy} is still running when it is killed after its stop request"),
+        );
+        self.check_abandoned_connections(proxy, "was killed after its stop request");
     }
 
-    fn abandoned(&mut self, proxy: usize, how: &str) {
-        let held: Vec<usize> = self.live.clone();
-        for connection in held {
-            let Kind::Submission(s) = &self.lines[connection].kind else { continue };
-            // One that reads when it likes may not have taken its MOVE yet.
-            if s.proxy != proxy || s.bad || s.slow || s.left.is_some() || s.ended.is_some() {
+    /// Reports connections that a proxy left without MOVE and requests that it left without an answer.
+    fn check_abandoned_connections(&mut self, proxy: usize, reason: &str) {
+        let open_connections: Vec<usize> = self.open_connections.clone();
+        for connection in open_connections {
+            let ConnectionKind::Client(client) = &self.connections[connection].kind else { continue };
+            // A slow reader may not have read its MOVE yet.
+            if client.proxy != proxy
+                || client.misbehaving
+                || client.slow_reader
+                || client.client_ended_at.is_some()
+                || client.proxy_ended_at.is_some()
+            {
                 continue;
             }
-            let attempt = s.attempt.and_then(|attempt| self.attempt(attempt));
-            let over = attempt.is_some_and(|attempt| {
-                attempt.gone.is_some() || !self.backends[attempt.backend].truth.answers
+            let attempt = client.attempt.and_then(|attempt| self.attempt(attempt));
+            let backend_ended = attempt.is_some_and(|attempt| {
+                attempt.backend_ended_at.is_some() || !self.backends[attempt.backend].state.answers
             });
-            if s.up && !s.moved && !over {
+            if client.established && !client.moved && !backend_ended {
                 self.record_violation(
                     Rule::Cut,
                     Some(connection),
-                    format!("proxy {proxy} {how} and held a connection"),
+                    format!("proxy {proxy} {reason} while it held a connection"),
                 );
-            } else if s.request.is_some() && s.answers == 0 {
+            } else if client.request.is_some() && client.answer_count == 0 {
                 self.record_violation(
                     Rule::Unanswered,
                     Some(connection),
-                    format!("proxy {proxy} {how} and owed an answer"),
+                    format!("proxy {proxy} {reason} before it answered a request"),
                 );
             }
         }
     }
 
-    /// A process is killed; what follows from that is no doing of its own.
+    /// Records that a process is killed; the consequences are not violations of that process.
     pub fn killed(&mut self, process: ProcessId) {
         if let Role::Proxy(i) = self.roles[process].0 {
             self.proxies[i].running = false;
-            let lines = &self.lines;
-            self.live.retain(|&connection| {
-                let line = &lines[connection];
-                line.from != process && line.to != process
+            let connections = &self.connections;
+            self.open_connections.retain(|&index| {
+                let connection = &connections[index];
+                connection.from != process && connection.to != process
             });
         }
     }
 
-    /// Something else that the world saw.
+    /// Records a violation that was found elsewhere.
     pub fn report_violation(&mut self, rule: Rule, what: String) {
         self.record_violation(rule, None, what);
     }
@@ -472,29 +519,36 @@
             return;
         }
         let parties = connection.map(|c| {
-            let partner = match &self.lines[c].kind {
-                Kind::Submission(s) => s.attempt,
-                Kind::Attempt(attempt) => attempt.submission,
+            let partner = match &self.connections[c].kind {
+                ConnectionKind::Client(client) => client.attempt,
+                ConnectionKind::Attempt(attempt) => attempt.client_connection,
                 _ => None,
             };
             (c, partner)
         });
-        let concerns = |event: &&NetworkEvent| {
-            parties.is_none_or(|(c, p)| event.connection == c || Some(event.connection) == p)
+        let concerns_parties = |event: &&NetworkEvent| {
+            parties.is_none_or(|(c, partner)| event.connection == c || Some(event.connection) == partner)
         };
-        let mut preceding_events: Vec<String> =
-            self.kept.iter().rev().filter(concerns).take(SHOWN).map(|event| self.show(event)).collect();
+        let mut preceding_events: Vec<String> = self
+            .recent_events
+            .iter()
+            .rev()
+            .filter(concerns_parties)
+            .take(MAX_SHOWN_EVENTS)
+            .map(|event| self.format_event(event))
+            .collect();
         preceding_events.reverse();
-        let who = connection.map_or(String::new(), |c| {
-            let line = &self.lines[c];
-            format!(" [{} - {}]", self.roles[line.from].1, self.roles[line.to].1)
+        let ends = connection.map_or(String::new(), |c| {
+            let connection = &self.connections[c];
+            format!(" [{} - {}]", self.roles[connection.from].1, self.roles[connection.to].1)
         });
-        self.violations.push(Violation { rule, at: self.now - EPOCH, what: what + &who, preceding_events });
+        self.violations.push(Violation { rule, at: self.now - EPOCH, what: what + &ends, preceding_events });
     }
 
-    fn show(&self, event: &NetworkEvent) -> String {
-        let line = &self.lines[event.connection];
-        let names = [&self.roles[line.from].1, &self.roles[line.to].1];
+    /// Formats a network event as a trace line.
+    fn format_event(&self, event: &NetworkEvent) -> String {
+        let connection = &self.connections[event.connection];
+        let names = [&self.roles[connection.from].1, &self.roles[connection.to].1];
         let (by, other) = match event.phase {
             Phase::Arrived => (names[1 - event.end], names[event.end]),
             _ => (names[event.end], names[1 - event.end]),
@@ -504,232 +558,253 @@
             Phase::Sent => "sends to",
             Phase::Arrived => "reaches",
         };
-        let what = match event.what {
-            Shape::Bytes(length, head) => {
-                format!("{length} bytes {:?}", String::from_utf8_lossy(&head[..length.min(HEAD)]))
+        let payload = match event.payload {
+            Payload::Bytes(length, prefix) => {
+                format!(
+                    "{length} bytes {:?}",
+                    String::from_utf8_lossy(&prefix[..length.min(PAYLOAD_PREFIX_BYTES)])
+                )
             }
-            Shape::Fin => "its end".into(),
-            Shape::Reset => "a reset".into(),
-            Shape::None => String::new(),
+            Payload::Fin => "its end".into(),
+            Payload::Reset => "a reset".into(),
+            Payload::None => String::new(),
         };
         let at = (event.at - EPOCH) as f64 / 1e6;
-        format!("{at:.6} #{} {by} {phase} {other} {what}", event.connection)
+        format!("{at:.6} #{} {by} {phase} {other} {payload}", event.connection)
     }
 
-    fn keep(&mut self, connection: usize, end: usize, phase: Phase, segment: Option<&Segment>) {
+    /// Adds a network event to the digest, to the trace and to the recent events.
+    fn record_event(&mut self, connection: usize, end: usize, phase: Phase, segment: Option<&Segment>) {
         self.counts.network_events += 1;
-        let what = match segment {
+        let payload = match segment {
             Some(Segment::Bytes(bytes)) => {
-                let mut head = [0; HEAD];
-                let kept = bytes.len().min(HEAD);
-                head[..kept].copy_from_slice(&bytes[..kept]);
+                let mut prefix = [0; PAYLOAD_PREFIX_BYTES];
+                let prefix_length = bytes.len().min(PAYLOAD_PREFIX_BYTES);
+                prefix[..prefix_length].copy_from_slice(&bytes[..prefix_length]);
                 self.digest.update(bytes);
-                Shape::Bytes(bytes.len(), head)
+                Payload::Bytes(bytes.len(), prefix)
             }
-            Some(Segment::Fin) => Shape::Fin,
-            Some(Segment::Reset) => Shape::Reset,
-            None => Shape::None,
+            Some(Segment::Fin) => Payload::Fin,
+            Some(Segment::Reset) => Payload::Reset,
+            None => Payload::None,
         };
-        let code = match what {
-            Shape::Bytes(length, _) => length as u64 * 8,
-            Shape::Fin => 1,
-            Shape::Reset => 2,
-            Shape::None => 3,
+        let payload_code = match payload {
+            Payload::Bytes(length, _) => length as u64 * 8,
+            Payload::Fin => 1,
+            Payload::Reset => 2,
+            Payload::None => 3,
         };
-        let mark = [self.now, connection as u64, end as u64 * 3 + phase as u64, code];
-        mark.into_iter().for_each(|part| self.digest.update(&part.to_le_bytes()));
-        let event = NetworkEvent { at: self.now, connection, end, phase, what };
+        let fields = [self.now, connection as u64, end as u64 * 3 + phase as u64, payload_code];
+        fields.into_iter().for_each(|field| self.digest.update(&field.to_le_bytes()));
+        let event = NetworkEvent { at: self.now, connection, end, phase, payload };
         match self.trace {
             Trace::None => {}
-            Trace::Print => println!("{}", self.show(&event)),
+            Trace::Print => println!("{}", self.format_event(&event)),
             Trace::Keep => {
-                let words = self.show(&event);
-                self.trace_lines.push(words);
+                let text = self.format_event(&event);
+                self.trace_lines.push(text);
             }
         }
-        if self.kept.len() == KEPT {
-            self.kept.pop_front();
+        if self.recent_events.len() == MAX_RECENT_EVENTS {
+            self.recent_events.pop_front();
         }
-        self.kept.push_back(event);
+        self.recent_events.push_back(event);
     }
 
-    /// The clock goes on to that time.
+    /// Advances the clock and makes the periodic checks that become due.
     pub fn advance_to(&mut self, to: Micros) {
-        while self.next_sweep <= to {
-            self.now = self.next_sweep;
-            self.next_sweep += SWEEP;
-            self.sweep();
+        while self.next_check_at <= to {
+            self.now = self.next_check_at;
+            self.next_check_at += OVERDUE_CHECK_INTERVAL_US;
+            self.check_overdue_events();
         }
         self.now = to;
     }
 
-    /// A process dials a machine, whether it is answered or not.
+    /// Records that a process tries to connect to a machine, whatever the result.
     pub fn connecting(&mut self, from: ProcessId, machine: ProcessId) {
         if let (Role::Proxy(proxy), Role::Discovery) = (self.roles[from].0, self.roles[machine].0) {
-            self.proxies[proxy].asked_at = self.now;
+            self.proxies[proxy].last_call_at = self.now;
         }
     }
 
-    /// A connection was made.
+    /// Records that a connection is opened.
     pub fn opened(&mut self, now: Micros, connection: usize, from: ProcessId, to: ProcessId) {
         self.now = now;
         self.counts.connections += 1;
         let kind = match (self.roles[from].0, self.roles[to].0) {
             (Role::Client { bad, slow, .. }, Role::Proxy(proxy)) => {
-                Kind::Submission(Submission { proxy, bad, slow, opened_at: now, ..Submission::default() })
+                ConnectionKind::Client(ClientConnection {
+                    proxy,
+                    misbehaving: bad,
+                    slow_reader: slow,
+                    opened_at: now,
+                    ..ClientConnection::default()
+                })
             }
             (Role::Proxy(proxy), Role::Backend(backend)) => {
-                Kind::Attempt(Attempt { proxy, backend, ..Attempt::default() })
+                ConnectionKind::Attempt(Attempt { proxy, backend, ..Attempt::default() })
             }
-            (Role::Proxy(proxy), Role::Discovery) => Kind::Call(Call { proxy, ..Call::default() }),
-            _ => Kind::Other,
+            (Role::Proxy(proxy), Role::Discovery) => {
+                ConnectionKind::DiscoveryCall(DiscoveryCall { proxy, ..DiscoveryCall::default() })
+            }
+            _ => ConnectionKind::Other,
         };
-        if matches!(kind, Kind::Submission(_) | Kind::Attempt(_)) {
-            self.live.push(connection);
+        if matches!(kind, ConnectionKind::Client(_) | ConnectionKind::Attempt(_)) {
+            self.open_connections.push(connection);
         }
-        self.lines.push(Line { from, to, kind });
-        self.keep(connection, 0, Phase::Opened, None);
+        self.connections.push(Connection { from, to, kind });
+        self.record_event(connection, 0, Phase::Opened, None);
     }
 
-    /// That end sent something.
+    /// Records that an end of a connection sends a segment.
     pub fn sent(&mut self, now: Micros, connection: usize, end: usize, segment: &Segment) {
         self.now = now;
-        self.keep(connection, end, Phase::Sent, Some(segment));
-        match (&mut self.lines[connection].kind, end) {
-            (Kind::Submission(s), 0) => s.sent_at = now,
-            (Kind::Submission(_), _) => self.proxy_answers(connection, segment),
-            (Kind::Attempt(_), 0) => self.proxy_attempts(connection, segment),
-            (Kind::Call(_), 0) => self.proxy_calls(connection, segment),
+        self.record_event(connection, end, Phase::Sent, Some(segment));
+        match (&mut self.connections[connection].kind, end) {
+            (ConnectionKind::Client(client), 0) => client.sent_at = now,
+            (ConnectionKind::Client(_), _) => self.handle_answer_segment(connection, segment),
+            (ConnectionKind::Attempt(_), 0) => self.handle_attempt_segment(connection, segment),
+            (ConnectionKind::DiscoveryCall(_), 0) => self.handle_discovery_call(connection, segment),
             _ => {}
         }
     }
 
-    /// That end let go of its connection; after a reset from the other side that says nothing on the network.
+    /// Records that an end closes its connection. After a reset from the other end, a close sends no segment.
     pub fn closed(&mut self, now: Micros, connection: usize, end: usize) {
-        match (&mut self.lines[connection].kind, end) {
-            (Kind::Submission(s), 1) => drop(s.ended.get_or_insert(now)),
-            (Kind::Attempt(attempt), 0) => attempt.ended = true,
+        match (&mut self.connections[connection].kind, end) {
+            (ConnectionKind::Client(client), 1) => drop(client.proxy_ended_at.get_or_insert(now)),
+            (ConnectionKind::Attempt(attempt), 0) => attempt.proxy_ended = true,
             _ => {}
         }
     }
 
-    /// Something arrived at that end.
+    /// Records that a segment arrives at an end of a connection.
     pub fn arrived(&mut self, now: Micros, connection: usize, end: usize, segment: &Segment) {
         self.now = now;
-        self.keep(connection, end, Phase::Arrived, Some(segment));
-        match (&self.lines[connection].kind, end) {
-            (Kind::Submission(_), 1) => self.client_says(connection, segment),
-            (Kind::Attempt(_), 0) => self.backend_says(connection, segment),
-            (Kind::Attempt(_), 1) => self.backend_hears(connection, segment),
-            (Kind::Call(_), 0) => self.discovery_says(connection, segment),
+        self.record_event(connection, end, Phase::Arrived, Some(segment));
+        match (&self.connections[connection].kind, end) {
+            (ConnectionKind::Client(_), 1) => self.handle_client_segment(connection, segment),
+            (ConnectionKind::Attempt(_), 0) => self.handle_backend_segment(connection, segment),
+            (ConnectionKind::Attempt(_), 1) => self.check_slow_start_limit(connection, segment),
+            (ConnectionKind::DiscoveryCall(_), 0) => self.handle_discovery_response(connection, segment),
             _ => {}
         }
     }
 
-    fn submission(&mut self, connection: usize) -> Option<&mut Submission> {
-        match self.lines.get_mut(connection).map(|line| &mut line.kind) {
-            Some(Kind::Submission(s)) => Some(s),
+    fn client_connection(&mut self, connection: usize) -> Option<&mut ClientConnection> {
+        match self.connections.get_mut(connection).map(|line| &mut line.kind) {
+            Some(ConnectionKind::Client(client)) => Some(client),
             _ => None,
         }
     }
 
     fn attempt(&self, connection: usize) -> Option<&Attempt> {
-        match self.lines.get(connection).map(|line| &line.kind) {
-            Some(Kind::Attempt(attempt)) => Some(attempt),
+        match self.connections.get(connection).map(|line| &line.kind) {
+            Some(ConnectionKind::Attempt(attempt)) => Some(attempt),
             _ => None,
         }
     }
 
     fn attempt_mut(&mut self, connection: usize) -> Option<&mut Attempt> {
-        match self.lines.get_mut(connection).map(|line| &mut line.kind) {
-            Some(Kind::Attempt(attempt)) => Some(attempt),
+        match self.connections.get_mut(connection).map(|line| &mut line.kind) {
+            Some(ConnectionKind::Attempt(attempt)) => Some(attempt),
             _ => None,
         }
     }
 
-    fn client_says(&mut self, connection: usize, segment: &Segment) {
+    /// Handles a segment from a client that arrives at a proxy.
+    fn handle_client_segment(&mut self, connection: usize, segment: &Segment) {
         let now = self.now;
-        let Some(s) = self.submission(connection) else { return };
+        let Some(client) = self.client_connection(connection) else { return };
         let Segment::Bytes(bytes) = segment else {
-            s.left.get_or_insert(now);
+            client.client_ended_at.get_or_insert(now);
             return;
         };
-        if s.request.is_some() {
-            if s.up || s.attempt.is_some() {
-                s.up_passing.came(now, bytes);
+        if client.request.is_some() {
+            if client.established || client.attempt.is_some() {
+                client.upstream_bytes.push(now, bytes);
             }
             return;
         }
-        // A bad one has no job, and may send megabytes.
-        if s.bad {
+        // A misbehaving client has no valid request, and may send megabytes.
+        if client.misbehaving {
             return;
         }
-        s.line.extend_from_slice(bytes);
-        while let Some(at) = s.line.iter().position(|&byte| byte == b'\n') {
-            let line: Vec<u8> = s.line.drain(..=at).collect();
+        client.received.extend_from_slice(bytes);
+        while let Some(line_end) = client.received.iter().position(|&byte| byte == b'\n') {
+            let line: Vec<u8> = client.received.drain(..=line_end).collect();
             let Some(text) = std::str::from_utf8(&line).ok().filter(|text| text.starts_with("OPEN ")) else {
                 continue;
             };
             let mut words = text.split_whitespace();
             let id = words.nth(1).unwrap_or_default().to_string();
             let fields = words.nth(1).unwrap_or_default();
-            let wait = fields.split(',').find_map(|field| field.strip_prefix("d=")?.parse::<u64>().ok());
-            let due = s.sent_at + wait.unwrap_or(0) * 1_000;
-            s.request = Some((id.clone(), now, due));
-            s.first_line = line;
-            let proxy = s.proxy;
+            let timeout_ms =
+                fields.split(',').find_map(|field| field.strip_prefix("d=")?.parse::<u64>().ok());
+            let due = client.sent_at + timeout_ms.unwrap_or(0) * 1_000;
+            client.request = Some((id.clone(), now, due));
+            client.request_line = line;
+            let proxy = client.proxy;
             self.proxies[proxy].requests.insert(id, connection);
             self.counts.requests += 1;
             break;
         }
     }
 
-    /// Bytes that the proxy sends to a submitter, or its end.
-    fn proxy_answers(&mut self, connection: usize, segment: &Segment) {
+    /// Handles a segment that a proxy sends to a client.
+    fn handle_answer_segment(&mut self, connection: usize, segment: &Segment) {
         let now = self.now;
-        let Some(s) = self.submission(connection) else { return };
-        let proxy = s.proxy;
+        let Some(client) = self.client_connection(connection) else { return };
+        let proxy = client.proxy;
         let Segment::Bytes(bytes) = segment else {
-            if s.ended.replace(now).is_none() {
-                self.proxy_ends(connection, matches!(segment, Segment::Reset));
+            if client.proxy_ended_at.replace(now).is_none() {
+                self.check_client_connection_end(connection, matches!(segment, Segment::Reset));
             }
             return;
         };
-        if s.bad || s.request.is_none() {
-            // PONG, or an error for one without a job.
-            if s.bad && bytes.starts_with(b"UP ") {
-                self.record_violation(Rule::MadeUp, Some(connection), "a bad submitter is served".into());
-            } else if let Some(s) = self.submission(connection) {
-                s.answers += 1;
+        if client.misbehaving || client.request.is_none() {
+            // PONG, or an error for a connection without a request.
+            if client.misbehaving && bytes.starts_with(b"UP ") {
+                self.record_violation(
+                    Rule::MadeUp,
+                    Some(connection),
+                    "a misbehaving client is served".into(),
+                );
+            } else if let Some(client) = self.client_connection(connection) {
+                client.answer_count += 1;
             }
             return;
         }
         for &byte in bytes {
-            let Some(s) = self.submission(connection) else { return };
-            if s.up {
-                self.passes_down(connection, byte);
+            let Some(client) = self.client_connection(connection) else { return };
+            if client.established {
+                self.check_downstream_byte(connection, byte);
                 continue;
             }
-            s.answer.push(byte);
+            client.partial_answer.push(byte);
             if byte != b'\n' {
                 continue;
             }
-            let line = std::mem::take(&mut s.answer);
-            s.answers += 1;
-            let (answers, due, id) =
-                (s.answers, s.request.as_ref().map_or(0, |request| request.2), s.request.clone());
-            let up = line.starts_with(b"UP ");
-            s.up = up;
-            let left = s.left.is_some();
-            if answers > 1 {
-                let said = String::from_utf8_lossy(&line).trim_end().to_string();
+            let line = std::mem::take(&mut client.partial_answer);
+            client.answer_count += 1;
+            let (answer_count, due, request) = (
+                client.answer_count,
+                client.request.as_ref().map_or(0, |request| request.2),
+                client.request.clone(),
+            );
+            let established = line.starts_with(b"UP ");
+            client.established = established;
+            let client_ended = client.client_ended_at.is_some();
+            if answer_count > 1 {
+                let text = String::from_utf8_lossy(&line).trim_end().to_string();
                 self.record_violation(
                     Rule::AnsweredTwice,
                     Some(connection),
-                    format!("{said:?} after a final answer"),
+                    format!("{text:?} after a final answer"),
                 );
             }
-            if now > due + GRACE && !left {
+            if now > due + GRACE_US && !client_ended {
                 self.record_violation(
                     Rule::Unanswered,
                     Some(connection),
@@ -741,473 +816,553 @@
                 Some(b"BUSY") => self.counts.refused += 1,
                 _ => self.counts.failed += 1,
             }
-            if up {
-                let attempt = id.and_then(|request| self.proxies[proxy].attempts.get(&request.0).copied());
-                let came =
-                    attempt.and_then(|attempt| self.attempt(attempt)).map(|attempt| attempt.came.clone());
-                if !came.as_ref().is_some_and(|came| came.starts_with(&line)) {
+            if established {
+                let attempt =
+                    request.and_then(|request| self.proxies[proxy].attempts.get(&request.0).copied());
+                let received =
+                    attempt.and_then(|attempt| self.attempt(attempt)).map(|attempt| attempt.received.clone());
+                if !received.as_ref().is_some_and(|received| received.starts_with(&line)) {
                     self.record_violation(
                         Rule::MadeUp,
                         Some(connection),
-                        "an UP that no execute node sent".into(),
+                        "an UP that no backend sent".into(),
                     );
                 }
-                let rest = came.map_or(Vec::new(), |came| came[line.len().min(came.len())..].to_vec());
+                let remaining = received
+                    .map_or(Vec::new(), |received| received[line.len().min(received.len())..].to_vec());
                 if let Some(attempt) = attempt.and_then(|attempt| self.attempt_mut(attempt)) {
-                    attempt.submission = Some(connection);
+                    attempt.client_connection = Some(connection);
                 }
-                if let Some(s) = self.submission(connection) {
-                    s.attempt = attempt;
-                    s.down_passing.between = true;
-                    if !rest.is_empty() {
-                        s.down_passing.came(now, &rest);
+                if let Some(client) = self.client_connection(connection) {
+                    client.attempt = attempt;
+                    client.downstream_bytes.at_line_start = true;
+                    if !remaining.is_empty() {
+                        client.downstream_bytes.push(now, &remaining);
                     }
                 }
             }
         }
     }
 
-    /// A byte that goes down on a connection that stands: the next that came, or one of the proxy's own MOVE.
-    fn passes_down(&mut self, connection: usize, byte: u8) {
+    /// Checks a byte to the client on an established connection: it is the next byte from the backend, or
+    /// belongs to a MOVE line of the proxy.
+    fn check_downstream_byte(&mut self, connection: usize, byte: u8) {
         const MOVE: &[u8] = b"MOVE\r\n";
         let now = self.now;
-        let Some(s) = self.submission(connection) else { return };
-        let since = s.down_passing.chunks.front().map(|(at, _)| *at);
-        if s.moving == 0 && s.down_passing.take(byte) {
+        let Some(client) = self.client_connection(connection) else { return };
+        let received_at = client.downstream_bytes.chunks.front().map(|(at, _)| *at);
+        if client.move_bytes_sent == 0 && client.downstream_bytes.take_next(byte) {
             if byte == b'\n' {
-                s.waiting.pop_front();
-                let slow = s.slow;
-                if !slow && since.is_some_and(|at| now > at + HELD + GRACE) {
-                    self.record_violation(Rule::HeldBack, Some(connection), "a line went down late".into());
+                client.unanswered_lines.pop_front();
+                let slow_reader = client.slow_reader;
+                if !slow_reader && received_at.is_some_and(|at| now > at + MAX_LINE_DELAY_US + GRACE_US) {
+                    self.record_violation(
+                        Rule::HeldBack,
+                        Some(connection),
+                        "a line from the backend was relayed late".into(),
+                    );
                 }
             }
             return;
         }
-        if MOVE.get(s.moving) == Some(&byte) && (s.moving > 0 || s.down_passing.between) {
-            s.moving += 1;
-            if s.moving == MOVE.len() {
-                s.moved = true;
+        if MOVE.get(client.move_bytes_sent) == Some(&byte)
+            && (client.move_bytes_sent > 0 || client.downstream_bytes.at_line_start)
+        {
+            client.move_bytes_sent += 1;
+            if client.move_bytes_sent == MOVE.len() {
+                client.moved = true;
                 self.counts.moves += 1;
             }
             return;
         }
-        let within = s.moving > 0 || !s.down_passing.between;
-        let what = if byte == b'M' && within { "a MOVE within a line" } else { "bytes that did not come" };
-        s.moving = MOVE.len() + 1;
-        self.record_violation(Rule::Changed, Some(connection), format!("{what} go down"));
+        let within_line = client.move_bytes_sent > 0 || !client.downstream_bytes.at_line_start;
+        let what = if byte == b'M' && within_line {
+            "a MOVE within a line"
+        } else {
+            "bytes that the backend did not send"
+        };
+        client.move_bytes_sent = MOVE.len() + 1;
+        self.record_violation(Rule::Changed, Some(connection), format!("{what} sent to the client"));
     }
 
-    /// The proxy ends a submitter's connection.
-    fn proxy_ends(&mut self, connection: usize, reset: bool) {
-        let Some(s) = self.submission(connection) else { return };
-        let (up, request, answers, moved, left) =
-            (s.up, s.request.is_some(), s.answers, s.moved, s.left.is_some());
-        let (proxy, bad, part) = (s.proxy, s.bad, s.answer.len());
-        if bad || left || !self.proxies[proxy].running {
+    /// Checks that the proxy may end a client connection.
+    fn check_client_connection_end(&mut self, connection: usize, reset: bool) {
+        let Some(client) = self.client_connection(connection) else { return };
+        let (established, request, answer_count, moved, client_ended) = (
+            client.established,
+            client.request.is_some(),
+            client.answer_count,
+            client.moved,
+            client.client_ended_at.is_some(),
+        );
+        let (proxy, misbehaving, partial_bytes) =
+            (client.proxy, client.misbehaving, client.partial_answer.len());
+        if misbehaving || client_ended || !self.proxies[proxy].running {
             return;
         }
-        if request && answers == 0 {
+        if request && answer_count == 0 {
             let how = if reset { "reset" } else { "ended" };
             self.record_violation(
                 Rule::Unanswered,
                 Some(connection),
-                format!("{how} without a final answer, {part} bytes into it"),
+                format!("{how} without a final answer, after {partial_bytes} bytes of it"),
             );
-        } else if up && !moved {
-            let attempt = self.submission(connection).and_then(|s| s.attempt);
+        } else if established && !moved {
+            let attempt = self.client_connection(connection).and_then(|client| client.attempt);
             let attempt = attempt.and_then(|attempt| self.attempt(attempt));
-            let over = attempt.is_none_or(|attempt| {
-                attempt.gone.is_some() || attempt.said_end || !self.backends[attempt.backend].truth.answers
+            let backend_ended = attempt.is_none_or(|attempt| {
+                attempt.backend_ended_at.is_some()
+                    || attempt.end_announced
+                    || !self.backends[attempt.backend].state.answers
             });
-            if !over {
+            if !backend_ended {
                 self.record_violation(Rule::Cut, Some(connection), "cut off without MOVE".into());
             }
         }
     }
 
-    /// What a proxy sends to an execute node.
-    fn proxy_attempts(&mut self, connection: usize, segment: &Segment) {
+    /// Handles a segment that a proxy sends to a backend.
+    fn handle_attempt_segment(&mut self, connection: usize, segment: &Segment) {
         let now = self.now;
         let Some(attempt) = self.attempt_mut(connection) else { return };
         let (proxy, backend) = (attempt.proxy, attempt.backend);
         let Segment::Bytes(bytes) = segment else {
-            attempt.ended = true;
-            let id = attempt.id.clone();
-            if let Some(id) = id
-                && self.proxies[proxy].attempts.get(&id) == Some(&connection)
+            attempt.proxy_ended = true;
+            let request_id = attempt.request_id.clone();
+            if let Some(request_id) = request_id
+                && self.proxies[proxy].attempts.get(&request_id) == Some(&connection)
             {
-                let submission = self.attempt(connection).and_then(|attempt| attempt.submission);
-                if submission.is_none() {
-                    self.proxies[proxy].attempts.remove(&id);
+                let client_connection =
+                    self.attempt(connection).and_then(|attempt| attempt.client_connection);
+                if client_connection.is_none() {
+                    self.proxies[proxy].attempts.remove(&request_id);
                 }
             }
             return;
         };
-        if attempt.first_whole {
-            self.passes_up(connection, bytes);
+        if attempt.first_line_complete {
+            self.check_upstream_bytes(connection, bytes);
             return;
         }
-        let begins = attempt.first.is_empty();
-        attempt.first.extend_from_slice(bytes);
-        let Some(at) = attempt.first.iter().position(|&byte| byte == b'\n') else {
-            if begins {
-                self.attempt_begins(proxy, backend, connection, now);
+        let starts_line = attempt.first_line.is_empty();
+        attempt.first_line.extend_from_slice(bytes);
+        let Some(line_end) = attempt.first_line.iter().position(|&byte| byte == b'\n') else {
+            if starts_line {
+                self.check_drain_window(proxy, backend, connection, now);
             }
             return;
         };
-        attempt.first_whole = true;
-        let rest = attempt.first.split_off(at + 1);
-        let first = attempt.first.clone();
-        if begins {
-            self.attempt_begins(proxy, backend, connection, now);
+        attempt.first_line_complete = true;
+        let rest = attempt.first_line.split_off(line_end + 1);
+        let first_line = attempt.first_line.clone();
+        if starts_line {
+            self.check_drain_window(proxy, backend, connection, now);
         }
-        let Some(text) = std::str::from_utf8(&first).ok().filter(|text| text.starts_with("OPEN ")) else {
+        let Some(text) = std::str::from_utf8(&first_line).ok().filter(|text| text.starts_with("OPEN "))
+        else {
             return;
         };
-        let id = text.split(' ').nth(1).unwrap_or_default().to_string();
+        let request_id = text.split(' ').nth(1).unwrap_or_default().to_string();
         self.counts.attempts += 1;
-        let before = self.proxies[proxy].attempts.insert(id.clone(), connection);
-        let out =
-            before.and_then(|before| self.attempt(before)).is_some_and(|b| !b.ended && b.gone.is_none());
-        if out {
+        let previous = self.proxies[proxy].attempts.insert(request_id.clone(), connection);
+        let previous_in_progress = previous
+            .and_then(|previous| self.attempt(previous))
+            .is_some_and(|previous| !previous.proxy_ended && previous.backend_ended_at.is_none());
+        if previous_in_progress {
             self.record_violation(
                 Rule::TwoClaims,
                 Some(connection),
-                format!("a second claim of job {id} is out"),
+                format!("a second attempt of request {request_id} is in progress"),
             );
         }
-        let request = self.proxies[proxy].requests.get(&id).copied();
-        let asked = request.and_then(|request| self.submission(request)).map(|s| s.first_line.clone());
-        if asked.is_none_or(|asked| without_wait(&asked) != without_wait(&first)) {
-            self.record_violation(
-                Rule::MadeUp,
-                Some(connection),
-                "a first line that no submitter sent".into(),
-            );
+        let request = self.proxies[proxy].requests.get(&request_id).copied();
+        let client_line = request
+            .and_then(|request| self.client_connection(request))
+            .map(|client| client.request_line.clone());
+        if client_line.is_none_or(|client_line| without_timeout(&client_line) != without_timeout(&first_line))
+        {
+            self.record_violation(Rule::MadeUp, Some(connection), "a first line that no client sent".into());
         }
         if let Some(attempt) = self.attempt_mut(connection) {
-            attempt.id = Some(id);
+            attempt.request_id = Some(request_id);
         }
-        if let Some(s) = request.and_then(|request| self.submission(request)) {
-            s.attempt = Some(connection);
+        if let Some(client) = request.and_then(|request| self.client_connection(request)) {
+            client.attempt = Some(connection);
         }
         if !rest.is_empty() {
-            self.passes_up(connection, &rest);
+            self.check_upstream_bytes(connection, &rest);
         }
     }
 
-    fn attempt_begins(&mut self, proxy: usize, backend: usize, connection: usize, now: Micros) {
-        let opening = self.attempt(connection).is_some_and(|attempt| attempt.first.starts_with(b"O"));
-        let told = self.proxies[proxy].told.get(&backend).copied();
-        if let Some(told) = told.filter(|told| opening && now > told + DRAIN + GRACE) {
-            let late = now - told;
+    /// Checks that a new attempt is not later than the drain window of its backend.
+    fn check_drain_window(&mut self, proxy: usize, backend: usize, connection: usize, now: Micros) {
+        let is_request = self.attempt(connection).is_some_and(|attempt| attempt.first_line.starts_with(b"O"));
+        let reported_at = self.proxies[proxy].removal_reported_at.get(&backend).copied();
+        if let Some(reported_at) =
+            reported_at.filter(|reported_at| is_request && now > reported_at + DRAIN_WINDOW_US + GRACE_US)
+        {
+            let late = now - reported_at;
             self.record_violation(
                 Rule::DrainWindow,
                 Some(connection),
-                format!("a claim {late} us after it was told"),
+                format!("an attempt {late} us after discovery reported the backend as draining or gone"),
             );
         }
     }
 
-    fn passes_up(&mut self, connection: usize, bytes: &[u8]) {
+    /// Checks bytes to the backend on an established connection.
+    fn check_upstream_bytes(&mut self, connection: usize, bytes: &[u8]) {
         let now = self.now;
-        let Some(submission) = self.attempt(connection).and_then(|attempt| attempt.submission) else {
+        let Some(client_connection) = self.attempt(connection).and_then(|attempt| attempt.client_connection)
+        else {
             return;
         };
-        let Some(s) = self.submission(submission) else { return };
+        let Some(client) = self.client_connection(client_connection) else { return };
         let mut late = false;
         for &byte in bytes {
-            let since = s.up_passing.chunks.front().map(|(at, _)| *at);
-            if !s.up_passing.take(byte) {
+            let received_at = client.upstream_bytes.chunks.front().map(|(at, _)| *at);
+            if !client.upstream_bytes.take_next(byte) {
                 self.record_violation(
                     Rule::Changed,
                     Some(connection),
-                    "bytes that did not come go up".into(),
+                    "bytes that the client did not send, sent to the backend".into(),
                 );
                 return;
             }
             if byte == b'\n' {
-                s.waiting.push_back(now);
-                late |= since.is_some_and(|at| now > at + HELD + GRACE);
+                client.unanswered_lines.push_back(now);
+                late |= received_at.is_some_and(|at| now > at + MAX_LINE_DELAY_US + GRACE_US);
             }
         }
         if late {
-            self.record_violation(Rule::HeldBack, Some(connection), "a line went up late".into());
+            self.record_violation(
+                Rule::HeldBack,
+                Some(connection),
+                "a line from the client was relayed late".into(),
+            );
         }
     }
 
-    /// What an execute node sends reaches the proxy.
-    fn backend_says(&mut self, connection: usize, segment: &Segment) {
+    /// Handles a segment from a backend that arrives at a proxy.
+    fn handle_backend_segment(&mut self, connection: usize, segment: &Segment) {
         let now = self.now;
         let Some(attempt) = self.attempt_mut(connection) else { return };
         let Segment::Bytes(bytes) = segment else {
-            attempt.gone.get_or_insert(now);
+            attempt.backend_ended_at.get_or_insert(now);
             return;
         };
-        let tail = attempt.came.len().saturating_sub(8);
-        match attempt.submission {
-            Some(submission) => {
-                let said = [&attempt.came[tail..], bytes.as_slice()].concat();
-                attempt.said_end |= [&b"BYE\r\n"[..], b"MOVE\r\n"].iter().any(|end| said.ends_with(end));
-                // Only as much as shows an ending on the next bytes.
-                attempt.came = said[said.len().saturating_sub(8)..].to_vec();
-                if let Some(s) = self.submission(submission) {
-                    s.down_passing.came(now, bytes);
+        let tail = attempt.received.len().saturating_sub(8);
+        match attempt.client_connection {
+            Some(client_connection) => {
+                let recent = [&attempt.received[tail..], bytes.as_slice()].concat();
+                attempt.end_announced |=
+                    [&b"BYE\r\n"[..], b"MOVE\r\n"].iter().any(|end| recent.ends_with(end));
+                // Keeps just enough to recognize a final line that continues in the next segment.
+                attempt.received = recent[recent.len().saturating_sub(8)..].to_vec();
+                if let Some(client) = self.client_connection(client_connection) {
+                    client.downstream_bytes.push(now, bytes);
                 }
             }
-            None => attempt.came.extend_from_slice(bytes),
+            None => attempt.received.extend_from_slice(bytes),
         }
     }
 
-    /// What a proxy sent reaches an execute node: the cold budget counts whole openings.
-    fn backend_hears(&mut self, connection: usize, segment: &Segment) {
+    /// Checks the limit of a backend in slow start; it counts complete requests that arrive at the backend.
+    fn check_slow_start_limit(&mut self, connection: usize, segment: &Segment) {
         let Segment::Bytes(bytes) = segment else { return };
         let now = self.now;
         let Some(attempt) = self.attempt(connection) else { return };
-        // The line's end in these bytes; what stands after it on a connection that is up are no openings.
-        if attempt.submission.is_some() || attempt.id.is_none() || !bytes.contains(&b'\n') {
+        // Counts the segment that completes the request line. Later segments, on an established connection,
+        // are not requests.
+        if attempt.client_connection.is_some() || attempt.request_id.is_none() || !bytes.contains(&b'\n') {
             return;
         }
         let (proxy, backend) = (attempt.proxy, attempt.backend);
-        let Some(since) = self.backends[backend].truth.cold_since else { return };
-        let rule = self.cold;
+        let Some(since) = self.backends[backend].state.cold_since else { return };
+        let rule = self.slow_start_rule;
         let age = now.saturating_sub(since);
         if age >= rule.warm {
             return;
         }
-        let told = self.proxies[proxy].starts.get(&backend).is_some_and(|&start| start >= since);
-        let reached = &mut self.backends[backend].reached;
-        reached.push_back((now, told));
-        while reached.front().is_some_and(|(at, _)| at + rule.fall < now) {
-            reached.pop_front();
+        let start_reported =
+            self.proxies[proxy].reported_starts.get(&backend).is_some_and(|&start| start >= since);
+        let recent_requests = &mut self.backends[backend].recent_requests;
+        recent_requests.push_back((now, start_reported));
+        while recent_requests.front().is_some_and(|(at, _)| at + rule.fall < now) {
+            recent_requests.pop_front();
         }
-        let part = rule.from + (1.0 - rule.from) * age as f64 / rule.warm as f64;
-        let budget = rule.multiple * self.backends[backend].truth.rate * part * rule.fall as f64 / 1e6;
-        let count = self.backends[backend].reached.len();
-        let knowing = self.backends[backend].reached.iter().filter(|(_, told)| *told).count();
-        // Some slack for chance: what a draw of that mean exceeds about once in a thousand.
-        let most = budget + 3.0 * budget.sqrt() + 2.0;
-        if count as f64 > most && knowing * 3 >= count * 2 {
-            let what = format!("{count} openings in the window where {budget:.1} are its multiple");
+        let capacity_share = rule.from + (1.0 - rule.from) * age as f64 / rule.warm as f64;
+        let budget =
+            rule.multiple * self.backends[backend].state.rate * capacity_share * rule.fall as f64 / 1e6;
+        let count = self.backends[backend].recent_requests.len();
+        let informed_count = self.backends[backend]
+            .recent_requests
+            .iter()
+            .filter(|(_, start_reported)| *start_reported)
+            .count();
+        // Tolerance for random variation: a random count of that mean exceeds the limit about once in a
+        // thousand.
+        let limit = budget + 3.0 * budget.sqrt() + 2.0;
+        if count as f64 > limit && informed_count * 3 >= count * 2 {
+            let what = format!(
+                "{count} requests within the overload window, where the overload multiple allows {budget:.1}"
+            );
             self.record_violation(Rule::ColdOverrun, Some(connection), what);
         }
     }
 
-    /// A call of discovery's.
-    fn proxy_calls(&mut self, connection: usize, segment: &Segment) {
+    /// Handles bytes that a proxy sends to discovery.
+    fn handle_discovery_call(&mut self, connection: usize, segment: &Segment) {
         let now = self.now;
         let Segment::Bytes(bytes) = segment else { return };
-        let Kind::Call(call) = &mut self.lines[connection].kind else { return };
-        let begins = call.request.is_empty();
+        let ConnectionKind::DiscoveryCall(call) = &mut self.connections[connection].kind else { return };
+        let starts_call = call.request.is_empty();
         call.request.extend_from_slice(bytes);
         if call.request.ends_with(b"\r\n\r\n") {
             let request = String::from_utf8_lossy(&std::mem::take(&mut call.request)).into_owned();
-            call.whole = !request.contains("from=");
+            call.wants_snapshot = !request.contains("from=");
         }
-        // A call counts from its first byte: the rest may wait for room.
-        if !begins {
+        // A call counts from its first byte, since the rest may wait for buffer space.
+        if !starts_call {
             return;
         }
         let index = call.proxy;
         let proxy = &mut self.proxies[index];
-        proxy.called += 1;
-        call.number = proxy.called;
-        let since = proxy.answered_at.take();
-        for times in [&mut proxy.calls, &mut proxy.changes] {
+        proxy.call_count += 1;
+        call.number = proxy.call_count;
+        let answered_at = proxy.watch_answered_at.take();
+        for times in [&mut proxy.recent_calls, &mut proxy.recent_changes] {
             while times.front().is_some_and(|at| at + 1_000_000 < now) {
                 times.pop_front();
             }
         }
-        proxy.calls.push_back(now);
-        proxy.asked_at = now;
-        let (calls, changes) = (proxy.calls.len(), proxy.changes.len());
-        if since.is_some_and(|at| now > at + WATCH + GRACE) {
-            let late = now - since.unwrap_or(now);
+        proxy.recent_calls.push_back(now);
+        proxy.last_call_at = now;
+        let (calls, changes) = (proxy.recent_calls.len(), proxy.recent_changes.len());
+        if answered_at.is_some_and(|at| now > at + MAX_WATCH_GAP_US + GRACE_US) {
+            let late = now - answered_at.unwrap_or(now);
             self.record_violation(
                 Rule::WatchGap,
                 Some(connection),
-                format!("the next call came after {late} us"),
+                format!("the next discovery call came after {late} us"),
             );
         }
-        if calls > CALLS + changes {
-            self.record_violation(Rule::Hammering, Some(connection), format!("{calls} calls in a second"));
+        if calls > MAX_CALLS_PER_SECOND + changes {
+            self.record_violation(
+                Rule::Hammering,
+                Some(connection),
+                format!("{calls} discovery calls in a second"),
+            );
         }
     }
 
-    /// An answer of discovery's reaches a proxy: what it tells, it has told.
-    fn discovery_says(&mut self, connection: usize, segment: &Segment) {
+    /// Handles bytes from discovery that arrive at a proxy. A complete response counts as received by the
+    /// proxy.
+    fn handle_discovery_response(&mut self, connection: usize, segment: &Segment) {
         let now = self.now;
         let Segment::Bytes(bytes) = segment else { return };
-        let Kind::Call(call) = &mut self.lines[connection].kind else { return };
-        call.answer.extend_from_slice(bytes);
-        let Some(head) = call.answer.windows(4).position(|part| part == b"\r\n\r\n") else { return };
-        let text = String::from_utf8_lossy(&call.answer[..head]).to_lowercase();
+        let ConnectionKind::DiscoveryCall(call) = &mut self.connections[connection].kind else { return };
+        call.response.extend_from_slice(bytes);
+        let Some(head_end) = call.response.windows(4).position(|part| part == b"\r\n\r\n") else { return };
+        let head = String::from_utf8_lossy(&call.response[..head_end]).to_lowercase();
         let length =
-            text.split("content-length:").nth(1).and_then(|rest| rest.trim_start().split("\r\n").next());
+            head.split("content-length:").nth(1).and_then(|rest| rest.trim_start().split("\r\n").next());
         let length: usize = length.and_then(|length| length.trim().parse().ok()).unwrap_or(0);
-        if call.answer.len() < head + 4 + length {
+        if call.response.len() < head_end + 4 + length {
             return;
         }
-        let (good, index, whole) = (text.starts_with("http/1.1 200"), call.proxy, call.whole);
+        let (succeeded, index, wants_snapshot) =
+            (head.starts_with("http/1.1 200"), call.proxy, call.wants_snapshot);
         let number = call.number;
-        let body = call.answer.split_off(head + 4);
-        call.answer.clear();
-        if !good {
+        let body = call.response.split_off(head_end + 4);
+        call.response.clear();
+        if !succeeded {
             return;
         }
-        let Ok(list) = serde_json::from_slice::<Told>(&body[..length]) else { return };
+        let Ok(response) = serde_json::from_slice::<EndpointsResponse>(&body[..length]) else {
+            return;
+        };
         let proxy = &mut self.proxies[index];
-        // Where a later call is out, that one carries the watch on; once it is answered, the next is due.
-        if number == proxy.called {
-            proxy.answered_at = Some(now);
+        // If a later call is in progress, that call continues the watch; the next call is due after its
+        // response.
+        if number == proxy.call_count {
+            proxy.watch_answered_at = Some(now);
         }
-        if !list.endpoints.is_empty() {
-            proxy.changes.push_back(now);
+        if !response.endpoints.is_empty() {
+            proxy.recent_changes.push_back(now);
         }
-        if whole || list.snapshot {
-            for (name, &backend) in &self.names {
-                if !list.endpoints.iter().any(|endpoint| endpoint.name == *name) {
-                    proxy.told.entry(backend).or_insert(now);
+        if wants_snapshot || response.snapshot {
+            for (name, &backend) in &self.backend_indices {
+                if !response.endpoints.iter().any(|endpoint| endpoint.name == *name) {
+                    proxy.removal_reported_at.entry(backend).or_insert(now);
                 }
             }
         }
-        for endpoint in &list.endpoints {
-            let Some(&backend) = self.names.get(&endpoint.name) else { continue };
+        for endpoint in &response.endpoints {
+            let Some(&backend) = self.backend_indices.get(&endpoint.name) else { continue };
             if endpoint.status == "ready" {
-                proxy.told.remove(&backend);
-                proxy.starts.insert(backend, endpoint.since_ms * 1_000);
+                proxy.removal_reported_at.remove(&backend);
+                proxy.reported_starts.insert(backend, endpoint.since_ms * 1_000);
             } else {
-                proxy.told.entry(backend).or_insert(now);
+                proxy.removal_reported_at.entry(backend).or_insert(now);
             }
         }
     }
 
-    /// Looks for what should have happened and did not.
-    fn sweep(&mut self) {
+    /// Reports events that should have happened by now and did not.
+    fn check_overdue_events(&mut self) {
         let now = self.now;
         let mut found: Vec<(Rule, usize, &str)> = Vec::new();
-        let (lines, backends) = (&mut self.lines, &self.backends);
-        self.live.retain(|&connection| {
-            let line = &lines[connection];
-            match &line.kind {
-                Kind::Submission(s) => s.ended.is_none(),
-                Kind::Attempt(attempt) => !attempt.ended,
+        let (connections, backends) = (&mut self.connections, &self.backends);
+        self.open_connections.retain(|&index| {
+            let connection = &connections[index];
+            match &connection.kind {
+                ConnectionKind::Client(client) => client.proxy_ended_at.is_none(),
+                ConnectionKind::Attempt(attempt) => !attempt.proxy_ended,
                 _ => false,
             }
         });
-        for &connection in &self.live {
-            match &lines[connection].kind {
-                Kind::Submission(s) => {
-                    let attempt = s.attempt.and_then(|attempt| match &lines[attempt].kind {
-                        Kind::Attempt(attempt) => Some(attempt),
+        for &connection in &self.open_connections {
+            match &connections[connection].kind {
+                ConnectionKind::Client(client) => {
+                    let attempt = client.attempt.and_then(|attempt| match &connections[attempt].kind {
+                        ConnectionKind::Attempt(attempt) => Some(attempt),
                         _ => None,
                     });
-                    if s.left.is_some_and(|at| now > at + END + GRACE) {
-                        // The other side is ended too; the submitter's own end may come a moment later.
-                        if attempt.is_some_and(|attempt| s.up && !attempt.ended && attempt.gone.is_none()) {
-                            found.push((Rule::EndKept, connection, "the submitter's end is not passed on"));
+                    if client.client_ended_at.is_some_and(|at| now > at + MAX_END_DELAY_US + GRACE_US) {
+                        // The proxy ends the attempt's connection too; it may end the client's connection a
+                        // moment later.
+                        if attempt.is_some_and(|attempt| {
+                            client.established && !attempt.proxy_ended && attempt.backend_ended_at.is_none()
+                        }) {
+                            found.push((
+                                Rule::EndKept,
+                                connection,
+                                "the client's end of stream is not passed on",
+                            ));
                         }
-                    } else if s.left.is_none() {
-                        let due = s.request.as_ref().map(|request| request.2);
-                        if s.answers == 0 && due.is_some_and(|due| now > due + GRACE) {
-                            found.push((Rule::Unanswered, connection, "no answer though its time is up"));
+                    } else if client.client_ended_at.is_none() {
+                        let due = client.request.as_ref().map(|request| request.2);
+                        if client.answer_count == 0 && due.is_some_and(|due| now > due + GRACE_US) {
+                            found.push((Rule::Unanswered, connection, "no answer by the deadline"));
                         }
-                        if s.bad && s.answers == 0 && now > s.opened_at + BAD + GRACE {
+                        if client.misbehaving
+                            && client.answer_count == 0
+                            && now > client.opened_at + MISBEHAVIOR_DEADLINE_US + GRACE_US
+                        {
                             found.push((Rule::BadUnanswered, connection, "neither an error nor a close"));
                         }
-                        let gone = attempt.and_then(|attempt| attempt.gone);
-                        if s.up && gone.is_some_and(|at| now > at + END + GRACE) && !s.slow {
+                        let backend_ended_at = attempt.and_then(|attempt| attempt.backend_ended_at);
+                        if client.established
+                            && backend_ended_at.is_some_and(|at| now > at + MAX_END_DELAY_US + GRACE_US)
+                            && !client.slow_reader
+                        {
                             found.push((
                                 Rule::EndKept,
                                 connection,
-                                "the execute node's end is not passed on",
+                                "the backend's end of stream is not passed on",
                             ));
                         }
-                        let held = s.down_passing.oldest_line().is_some_and(|at| now > at + HELD + GRACE);
-                        if s.up && held && !s.slow && !s.moved {
-                            found.push((
-                                Rule::HeldBack,
-                                connection,
-                                "a line from the execute node is held back",
-                            ));
+                        let line_overdue = client
+                            .downstream_bytes
+                            .oldest_line_at()
+                            .is_some_and(|at| now > at + MAX_LINE_DELAY_US + GRACE_US);
+                        if client.established && line_overdue && !client.slow_reader && !client.moved {
+                            found.push((Rule::HeldBack, connection, "a line from the backend is held back"));
                         }
-                        let held = s.up_passing.oldest_line().is_some_and(|at| now > at + HELD + GRACE);
-                        let answers = attempt.is_some_and(|attempt| backends[attempt.backend].truth.answers);
-                        if s.up && held && answers && gone.is_none() {
-                            found.push((
-                                Rule::HeldBack,
-                                connection,
-                                "a line from the submitter is held back",
-                            ));
+                        let line_overdue = client
+                            .upstream_bytes
+                            .oldest_line_at()
+                            .is_some_and(|at| now > at + MAX_LINE_DELAY_US + GRACE_US);
+                        let backend_answers =
+                            attempt.is_some_and(|attempt| backends[attempt.backend].state.answers);
+                        if client.established && line_overdue && backend_answers && backend_ended_at.is_none()
+                        {
+                            found.push((Rule::HeldBack, connection, "a line from the client is held back"));
                         }
-                        let silent = s.waiting.front().is_some_and(|&at| now > at + SILENT + GRACE);
-                        if s.up && silent && !s.moved && !s.slow && gone.is_none() {
-                            found.push((Rule::SilentKept, connection, "nothing came back for seven seconds"));
+                        let silent = client
+                            .unanswered_lines
+                            .front()
+                            .is_some_and(|&at| now > at + MAX_SILENCE_US + GRACE_US);
+                        if client.established
+                            && silent
+                            && !client.moved
+                            && !client.slow_reader
+                            && backend_ended_at.is_none()
+                        {
+                            found.push((Rule::SilentKept, connection, "no line came back for seven seconds"));
                         }
                     }
                 }
-                Kind::Attempt(_) | Kind::Call(_) | Kind::Other => {}
+                ConnectionKind::Attempt(_) | ConnectionKind::DiscoveryCall(_) | ConnectionKind::Other => {}
             }
         }
         for (rule, connection, what) in found {
             self.record_violation(rule, Some(connection), what.to_string());
-            // Once is enough.
-            self.live.retain(|&c| c != connection);
+            // Reports each connection once.
+            self.open_connections.retain(|&c| c != connection);
         }
         for index in 0..self.proxies.len() {
             let proxy = &mut self.proxies[index];
-            let late = proxy.answered_at.is_some_and(|at| now > at + WATCH + GRACE);
-            if late && proxy.running && proxy.stopping.is_none() {
-                proxy.answered_at = None;
+            let late = proxy.watch_answered_at.is_some_and(|at| now > at + MAX_WATCH_GAP_US + GRACE_US);
+            if late && proxy.running && proxy.stop_requested_at.is_none() {
+                proxy.watch_answered_at = None;
                 self.record_violation(
                     Rule::WatchGap,
                     None,
-                    format!("proxy {index} does not carry its watch on"),
+                    format!("proxy {index} does not renew its discovery watch"),
                 );
             }
             let proxy = &mut self.proxies[index];
-            if now > proxy.asked_at + ASKED + GRACE && proxy.running && proxy.stopping.is_none() {
-                proxy.asked_at = now;
+            if now > proxy.last_call_at + MAX_CALL_INTERVAL_US + GRACE_US
+                && proxy.running
+                && proxy.stop_requested_at.is_none()
+            {
+                proxy.last_call_at = now;
                 self.record_violation(
                     Rule::WatchGap,
                     None,
-                    format!("proxy {index} has not asked for so long"),
+                    format!("proxy {index} has not called discovery for too long"),
                 );
             }
         }
     }
 
-    /// Connections of submitters that a proxy still holds though their submitters have left.
+    /// Returns the number of connections that a proxy still holds although their clients have ended them.
     pub fn still_held(&self, proxy: usize) -> usize {
-        let held = |connection: &&usize| match &self.lines[**connection].kind {
-            Kind::Submission(s) => s.proxy == proxy && s.ended.is_none() && s.left.is_some(),
+        let is_held = |connection: &&usize| match &self.connections[**connection].kind {
+            ConnectionKind::Client(client) => {
+                client.proxy == proxy && client.proxy_ended_at.is_none() && client.client_ended_at.is_some()
+            }
             _ => false,
         };
-        self.live.iter().filter(held).count()
+        self.open_connections.iter().filter(is_held).count()
     }
 
-    /// The process that plays that proxy now.
+    /// Returns the current process of a proxy.
     pub fn process_of(&self, proxy: usize) -> ProcessId {
         self.proxies[proxy].process
     }
 }
 
-/// A first line without what the proxy may change of it.
-fn without_wait(line: &[u8]) -> Vec<&[u8]> {
+/// Splits a request line into fields, without the timeout field, which the proxy may change.
+fn without_timeout(line: &[u8]) -> Vec<&[u8]> {
     let parts = line.split(|&byte| byte == b',' || byte == b' ');
     parts.filter(|part| !part.starts_with(b"d=")).collect()
 }
 
+/// Response of discovery.
 #[derive(Deserialize)]
-struct Told {
+struct EndpointsResponse {
     #[serde(default)]
     snapshot: bool,
     #[serde(default)]
-    endpoints: Vec<ToldEndpoint>,
+    endpoints: Vec<EndpointStatus>,
 }
 
+/// A backend in a response of discovery.
 #[derive(Deserialize)]
-struct ToldEndpoint {
+struct EndpointStatus {
     name: String,
     status: String,
     #[serde(default)]
