--- a/crates/world/src/lines.rs
+++ b/crates/world/src/lines.rs
@@ -1,10 +1,10 @@
-//! Lines on a connection, as the parties of a world read and write them.
+//! Reading and writing of lines, as the simulated parties do it.
 
 use pierloom_host::{Host, Micros, TcpStream};
 use std::io;
 use std::rc::Rc;
 
-/// A connection and what was read of it beyond the last whole line.
+/// Reads a connection line by line; keeps the bytes beyond the last complete line.
 pub struct Lines {
     /// The connection.
     pub stream: Rc<TcpStream>,
@@ -12,23 +12,25 @@
 }
 
 impl Lines {
-    /// Nothing is read yet.
+    /// Creates a reader of a connection from which nothing has been read.
     pub fn new(stream: TcpStream) -> Self {
         Lines { stream: Rc::new(stream), buffer: Vec::new() }
     }
 
-    /// The next line without its end; none at the end of the connection. Dropped early, it loses nothing.
+    /// Returns the next line without its line ending, or `None` at the end of the connection.
+    ///
+    /// The future is cancel safe: no bytes are lost if it is dropped early.
     pub async fn next(&mut self) -> Option<String> {
         loop {
-            if let Some(at) = self.buffer.iter().position(|&byte| byte == b'\n') {
-                let line: Vec<u8> = self.buffer.drain(..=at).collect();
+            if let Some(line_end) = self.buffer.iter().position(|&byte| byte == b'\n') {
+                let line: Vec<u8> = self.buffer.drain(..=line_end).collect();
                 return Some(String::from_utf8_lossy(&line).trim_end().to_string());
             }
-            let mut part = [0; 4096];
+            let mut chunk = [0; 4096];
             self.stream.readable().await;
-            match self.stream.try_read(&mut part) {
+            match self.stream.try_read(&mut chunk) {
                 Ok(0) => return None,
-                Ok(read) => self.buffer.extend_from_slice(&part[..read]),
+                Ok(read) => self.buffer.extend_from_slice(&chunk[..read]),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
                 Err(_) => return None,
             }
@@ -36,7 +38,7 @@
     }
 }
 
-/// Writes everything.
+/// Writes all bytes.
 pub async fn write(stream: &TcpStream, mut bytes: &[u8]) -> io::Result<()> {
     while !bytes.is_empty() {
         stream.writable().await;
@@ -49,11 +51,11 @@
     Ok(())
 }
 
-/// That, unless the time comes first.
-pub async fn within<T>(host: &Host, until: Micros, what: impl Future<Output = T>) -> Option<T> {
+/// Returns the value of the future, or `None` if the deadline `until` comes first.
+pub async fn within<T>(host: &Host, until: Micros, future: impl Future<Output = T>) -> Option<T> {
     tokio::select! {
         biased;
-        value = what => Some(value),
+        value = future => Some(value),
         () = host.sleep_until(until) => None,
     }
 }
