--- a/crates/world/src/panics.rs
+++ b/crates/world/src/panics.rs
@@ -1,37 +1,37 @@
-//! Panics of this thread, counted: a run must bring none, wherever it was caught.
+//! Counts the panics of the current thread. A run must cause no panic, not even one that is caught.
 
 use std::cell::{Cell, RefCell};
 use std::sync::Once;
 
 thread_local! {
-    static PLAYING: Cell<bool> = const { Cell::new(false) };
-    static SEEN: Cell<u64> = const { Cell::new(0) };
-    static LAST: RefCell<String> = const { RefCell::new(String::new()) };
+    static SIMULATING: Cell<bool> = const { Cell::new(false) };
+    static PANIC_COUNT: Cell<u64> = const { Cell::new(0) };
+    static LAST_MESSAGE: RefCell<String> = const { RefCell::new(String::new()) };
 }
 
-/// Number of panics on this thread since the first call in the process.
+/// Returns the number of panics on this thread since the first call in the process.
 pub fn panic_count() -> u64 {
     static HOOK: Once = Once::new();
     HOOK.call_once(|| {
-        let before = std::panic::take_hook();
+        let previous_hook = std::panic::take_hook();
         std::panic::set_hook(Box::new(move |info| {
-            SEEN.with(|seen| seen.set(seen.get() + 1));
-            LAST.with(|last| *last.borrow_mut() = info.to_string().replace('\n', " "));
-            // A run reports its own; those of others are printed as ever.
-            if !PLAYING.with(Cell::get) {
-                before(info);
+            PANIC_COUNT.with(|count| count.set(count.get() + 1));
+            LAST_MESSAGE.with(|message| *message.borrow_mut() = info.to_string().replace('\n', " "));
+            // A run reports its own panics; all others are printed as usual.
+            if !SIMULATING.with(Cell::get) {
+                previous_hook(info);
             }
         }));
     });
-    SEEN.with(Cell::get)
+    PANIC_COUNT.with(Cell::get)
 }
 
-/// Says that a run begins on this thread, or ends: its panics are counted and not printed.
-pub fn set_simulating(now: bool) {
-    PLAYING.with(|playing| playing.set(now));
+/// Marks the beginning or the end of a run on this thread. Panics during a run are counted, not printed.
+pub fn set_simulating(simulating: bool) {
+    SIMULATING.with(|flag| flag.set(simulating));
 }
 
-/// What the last of them said.
+/// Returns the message of the last panic on this thread.
 pub fn last_message() -> String {
-    LAST.with(|last| last.borrow().clone())
+    LAST_MESSAGE.with(|message| message.borrow().clone())
 }
