--- a/crates/world/src/lib.rs
+++ b/crates/world/src/lib.rs
@@ -1,6 +1,9 @@
 #![forbid(unsafe_code)]
-//! Seeded worlds: the same network code as in service, on a virtual clock and a simulated network, among models
-//! of execute nodes, submitters and discovery, under scripted faults, with the rules checked from outside.
+//! Deterministic simulation of the load balancer.
+//!
+//! A seeded world runs the production network code on a virtual clock and a simulated network, with models of
+//! backends, clients and discovery, and injects scripted faults. The rules are checked from outside the
+//! proxies.
 
 pub mod backend;
 pub mod client;
