--- a/crates/world/src/discovery.rs
+++ b/crates/world/src/discovery.rs
@@ -1,5 +1,6 @@
-//! The service of the machine list: HTTP/1.1, one call at a time, watches, failures. It tells what it was told
-//! of execute nodes, late.
+//! Model of the discovery service: HTTP/1.1, one call at a time, with watches and failures.
+//!
+//! The service reports the state of backends as published to it, with a delay.
 
 use crate::lines::{Lines, write};
 use pierloom_host::{Host, Micros, TcpListener, TcpStream};
@@ -7,27 +8,27 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Work of one call; microseconds.
-const CALL: Micros = 2_000;
-/// A call that would wait longer than this for its turn fails; microseconds.
-const TURN: Micros = 3_000_000;
-/// An old address closes its connections this long after the move; microseconds.
-const MOVED: Micros = 1_500_000;
+/// Time that the service works on a call.
+const CALL_DURATION_US: Micros = 2_000;
+/// A call that would wait longer than this in the queue fails.
+const MAX_QUEUE_TIME_US: Micros = 3_000_000;
+/// An old address closes its connections this long after the service has moved.
+const CLOSE_AFTER_MOVE_US: Micros = 1_500_000;
 
-/// What the list says of one execute node.
+/// One backend in the endpoint list.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    /// Its name.
+    /// Name of the backend.
     pub name: String,
-    /// Its address.
+    /// Address of the backend.
     pub address: String,
-    /// Its zone's name.
+    /// Name of the zone.
     pub zone: String,
-    /// ready, draining or gone.
+    /// `ready`, `draining` or `gone`.
     pub status: &'static str,
-    /// Its weight.
+    /// Weight of the backend.
     pub weight: f64,
-    /// When it last started, in Unix milliseconds; 0 for long ago.
+    /// Time of the last start, in Unix milliseconds; 0 means long ago.
     pub since_ms: u64,
 }
 
@@ -40,22 +41,25 @@
     }
 }
 
-/// The list and its history. It outlives the service's process.
+/// The endpoint list and its history. The store outlives the process of the service.
 pub struct EndpointStore {
     entries: RefCell<Vec<Entry>>,
     history: RefCell<Vec<(u64, Entry)>>,
+    /// Version of the list.
     index: Cell<u64>,
-    /// Rung at each change. Whoever waits is woken in order: a watch channel would wake in an order of its own.
+    /// Notified at each change. `Notify` wakes waiting calls in order; a watch channel has an order of its
+    /// own.
     changed: Notify,
-    /// Calls answered 503.
+    /// Calls fail with status 503.
     pub failing: Cell<bool>,
-    /// Each call takes this much longer; microseconds.
+    /// Extra time that each call takes.
     pub late: Cell<Micros>,
-    free_at: Cell<Micros>,
+    /// Time at which all accepted calls are done.
+    queue_free_at: Cell<Micros>,
 }
 
 impl EndpointStore {
-    /// A list of version 1.
+    /// Creates a store with version 1 of the list.
     pub fn new(entries: Vec<Entry>) -> Rc<Self> {
         Rc::new(EndpointStore {
             entries: RefCell::new(entries),
@@ -64,11 +68,11 @@
             changed: Notify::new(),
             failing: Cell::new(false),
             late: Cell::new(0),
-            free_at: Cell::new(0),
+            queue_free_at: Cell::new(0),
         })
     }
 
-    /// Enters a change and tells whoever watches.
+    /// Records a change and notifies the waiting calls.
     pub fn publish(&self, entry: Entry) {
         let index = self.index.get() + 1;
         {
@@ -83,41 +87,43 @@
         self.changed.notify_waiters();
     }
 
-    /// The whole list as JSON.
+    /// Returns the complete list as JSON.
     pub fn snapshot(&self) -> String {
         let entries: Vec<String> = self.entries.borrow().iter().map(Entry::json).collect();
         format!(r#"{{"index":{},"snapshot":true,"endpoints":[{}]}}"#, self.index.get(), entries.join(","))
     }
 
-    fn since(&self, from: u64) -> String {
+    /// Returns the changes after version `from` as JSON.
+    fn delta(&self, from: u64) -> String {
         let history = self.history.borrow();
-        let news = history.iter().filter(|(index, _)| *index > from).map(|(_, entry)| entry.json());
-        let news: Vec<String> = news.collect();
-        format!(r#"{{"index":{},"snapshot":false,"endpoints":[{}]}}"#, self.index.get(), news.join(","))
+        let changes = history.iter().filter(|(index, _)| *index > from).map(|(_, entry)| entry.json());
+        let changes: Vec<String> = changes.collect();
+        format!(r#"{{"index":{},"snapshot":false,"endpoints":[{}]}}"#, self.index.get(), changes.join(","))
     }
 }
 
-/// One address that the list is served at.
+/// The discovery service at one address.
 pub struct Service {
     endpoint_store: Rc<EndpointStore>,
     host: Host,
     moved: Notify,
+    /// The service has moved to another address.
     closed: Cell<bool>,
 }
 
 impl Service {
-    /// Serves that list.
+    /// Creates a service that serves the list of a store.
     pub fn new(endpoint_store: Rc<EndpointStore>, host: Host) -> Rc<Self> {
         Rc::new(Service { endpoint_store, host, moved: Notify::new(), closed: Cell::new(false) })
     }
 
-    /// Takes no new connection from here on, and closes the open ones a little later.
+    /// Stops accepting connections, and closes the open ones after a delay.
     pub fn move_away(&self) {
         self.closed.set(true);
         self.moved.notify_waiters();
     }
 
-    /// Accepts until the address moves away.
+    /// Accepts connections until the service moves to another address.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
         while !self.closed.get() {
             tokio::select! {
@@ -125,7 +131,7 @@
                 accepted = listener.accept() => {
                     if let Ok((stream, _)) = accepted {
                         let service = self.clone();
-                        self.host.spawn(async move { service.hear(stream).await });
+                        self.host.spawn(async move { service.handle_connection(stream).await });
                     }
                 }
                 () = self.moved.notified() => {}
@@ -133,23 +139,23 @@
         }
     }
 
-    async fn hear(self: Rc<Self>, stream: TcpStream) {
+    async fn handle_connection(self: Rc<Self>, stream: TcpStream) {
         let moved = async {
             self.moved.notified().await;
-            self.host.sleep_until(self.host.now() + MOVED).await;
+            self.host.sleep_until(self.host.now() + CLOSE_AFTER_MOVE_US).await;
         };
         tokio::select! {
             biased;
-            () = self.calls(stream) => {}
+            () = self.serve_calls(stream) => {}
             () = moved => {}
         }
     }
 
-    async fn calls(&self, stream: TcpStream) {
+    async fn serve_calls(&self, stream: TcpStream) {
         let mut lines = Lines::new(stream);
         while let Some(request) = lines.next().await {
             while lines.next().await.is_some_and(|header| !header.is_empty()) {}
-            let body = self.answer(&request).await;
+            let body = self.response_body(&request).await;
             let text = match body {
                 Some(body) => format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()),
                 None => "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".into(),
@@ -160,25 +166,26 @@
         }
     }
 
-    async fn answer(&self, request: &str) -> Option<String> {
-        let number = |name: &str| -> Option<u64> {
-            let rest = request.split(name).nth(1)?;
-            rest.split(['&', ' ']).next()?.parse().ok()
+    /// Returns the body of the response to a request line, or `None` if the call fails.
+    async fn response_body(&self, request: &str) -> Option<String> {
+        let parameter = |name: &str| -> Option<u64> {
+            let value = request.split(name).nth(1)?;
+            value.split(['&', ' ']).next()?.parse().ok()
         };
         let now = self.host.now();
-        let turn = self.endpoint_store.free_at.get().max(now);
-        if turn > now + TURN {
+        let start_at = self.endpoint_store.queue_free_at.get().max(now);
+        if start_at > now + MAX_QUEUE_TIME_US {
             return None;
         }
-        let done = turn + CALL + self.endpoint_store.late.get();
-        self.endpoint_store.free_at.set(done);
-        self.host.sleep_until(done).await;
+        let done_at = start_at + CALL_DURATION_US + self.endpoint_store.late.get();
+        self.endpoint_store.queue_free_at.set(done_at);
+        self.host.sleep_until(done_at).await;
         if self.endpoint_store.failing.get() {
             return None;
         }
-        let Some(from) = number("from=") else { return Some(self.endpoint_store.snapshot()) };
-        let hold = number("hold_ms=").unwrap_or(0).min(60_000) * 1_000;
-        let newer = async {
+        let Some(from) = parameter("from=") else { return Some(self.endpoint_store.snapshot()) };
+        let hold = parameter("hold_ms=").unwrap_or(0).min(60_000) * 1_000;
+        let newer_entries = async {
             while self.endpoint_store.index.get() <= from {
                 self.endpoint_store.changed.notified().await;
             }
@@ -186,9 +193,9 @@
         let until = self.host.now() + hold;
         tokio::select! {
             biased;
-            () = newer => {}
+            () = newer_entries => {}
             () = self.host.sleep_until(until) => {}
         }
-        if self.endpoint_store.failing.get() { None } else { Some(self.endpoint_store.since(from)) }
+        if self.endpoint_store.failing.get() { None } else { Some(self.endpoint_store.delta(from)) }
     }
 }
