--- a/crates/world/src/client.rs
+++ b/crates/world/src/client.rs
@@ -1,5 +1,7 @@
-//! Submitters and the front that deals them out: usual ones, which send a line every two seconds and come back
-//! after a break or a MOVE, and bad ones.
+//! Models of clients, and the selection of a proxy for a client.
+//!
+//! A well-behaved client sends a line every two seconds and reconnects after a disconnection or a MOVE. A
+//! misbehaving client breaks the protocol.
 
 use crate::lines::{Lines, within, write};
 use crate::rng::Rng;
@@ -12,202 +14,205 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A usual submitter sends a line this often; microseconds.
-const LINE: Micros = 2_000_000;
-/// After a break it comes again within these; microseconds.
-const REJOIN: std::ops::Range<Micros> = 83_000..1_300_000;
-/// After a MOVE; microseconds.
-const MOVED: std::ops::Range<Micros> = 20_000..200_000;
-/// After a refusal or a failure; microseconds.
-const BACK_OFF: std::ops::Range<Micros> = 40_000..320_000;
-/// After all its tries failed; microseconds.
-const LATER: std::ops::Range<Micros> = 1_000_000..2_500_000;
-/// What it leaves unread at its end is waited for this long; microseconds.
-const GOODBYE: Micros = 1_000_000;
-/// Bytes of the largest value that a bad one sends.
-const HUGE: usize = 128 << 10;
+/// Interval of the lines that a well-behaved client sends.
+const LINE_INTERVAL_US: Micros = 2_000_000;
+/// Delay before a client reconnects after a disconnection.
+const RECONNECT_DELAY_US: std::ops::Range<Micros> = 83_000..1_300_000;
+/// Delay before a client reconnects after a MOVE.
+const MOVE_RECONNECT_DELAY_US: std::ops::Range<Micros> = 20_000..200_000;
+/// Delay before a client retries after a refusal or a failure.
+const RETRY_DELAY_US: std::ops::Range<Micros> = 40_000..320_000;
+/// Delay before a client starts a new request after all its retries failed.
+const NEW_REQUEST_DELAY_US: std::ops::Range<Micros> = 1_000_000..2_500_000;
+/// Longest time that a client reads remaining bytes after it has ended its side of the connection.
+const CLOSE_TIMEOUT_US: Micros = 1_000_000;
+/// Length of the longest line that a misbehaving client sends.
+const HUGE_LINE_BYTES: usize = 128 << 10;
 
-/// The front: which proxies take submitters, as far as it knows.
+/// Selects a proxy for a client, among those known to be in service.
 #[derive(Default)]
 pub struct ProxySelector {
-    /// Zone, address, and whether it is taken in.
+    /// Zone and address of each proxy, and whether the proxy is in service.
     pub proxies: RefCell<Vec<(usize, SocketAddr, bool)>>,
 }
 
 impl ProxySelector {
+    /// Returns a random proxy in service, in the client's zone if there is one.
     fn pick(&self, zone: usize, rng: &mut Rng) -> Option<SocketAddr> {
         let proxies = self.proxies.borrow();
-        let there: Vec<_> = proxies.iter().filter(|proxy| proxy.2).collect();
-        let near: Vec<_> = there.iter().copied().filter(|proxy| proxy.0 == zone).collect();
-        let choice = if near.is_empty() { &there } else { &near };
-        choice.choose(rng).map(|proxy| proxy.1)
+        let in_service: Vec<_> = proxies.iter().filter(|proxy| proxy.2).collect();
+        let same_zone: Vec<_> = in_service.iter().copied().filter(|proxy| proxy.0 == zone).collect();
+        let candidates = if same_zone.is_empty() { &in_service } else { &same_zone };
+        candidates.choose(rng).map(|proxy| proxy.1)
     }
 }
 
-/// What came of a submitter.
+/// Results of a client.
 #[derive(Clone, Debug, Default, Serialize, PartialEq)]
 pub struct Outcome {
-    /// Its final answers, a letter each: U up, B busy, E failed, - none.
+    /// Final answers, one letter each: `U` for UP, `B` for BUSY, `E` for a failure, `-` for none.
     pub answers: String,
-    /// How often it was moved and cut off.
+    /// Number of disconnections after a MOVE.
     pub moved: u32,
-    /// Cut off.
+    /// Number of disconnections without MOVE.
     pub cut: u32,
-    /// Time in which it wanted its connection; microseconds.
+    /// Time for which the client wanted a connection.
     pub wanted: Micros,
-    /// Time in which it stood; microseconds.
+    /// Time for which the client had an established connection.
     pub stood: Micros,
-    /// Lines sent and answered, and answered in time.
+    /// Number of lines sent.
     pub lines: u32,
-    /// Lines answered.
+    /// Number of lines answered.
     pub answered: u32,
-    /// Lines answered within the aim.
+    /// Number of lines answered within the message target.
     pub in_time: u32,
 }
 
-/// One submitter.
+/// One client.
 pub struct Client {
-    /// What it is.
+    /// Settings of the client.
     pub spec: ClientSpec,
-    /// Its place in the script, which makes its ids.
+    /// Index in the script; the request ids are derived from it.
     pub index: usize,
-    /// Its machine.
+    /// Machine that the client runs on.
     pub host: Host,
-    /// The front.
+    /// Selects the proxy of each connection.
     pub proxy_selector: Rc<ProxySelector>,
-    /// Its own draws.
+    /// Random numbers of this client.
     pub rng: RefCell<Rng>,
-    /// How long it waits for an answer; milliseconds.
+    /// Longest time to wait for an answer, in milliseconds.
     pub deadline_ms: u64,
-    /// A message is wanted within this; microseconds.
+    /// Target for the time between a line and its answer.
     pub aim: Micros,
-    /// What came of it.
+    /// Results so far.
     pub outcome: RefCell<Outcome>,
-    /// Number of its tries.
+    /// Number of attempts so far.
     pub tries: Cell<u32>,
 }
 
-/// How a try ended.
-enum End {
-    /// Its life is over.
-    Done,
-    /// Sent away politely.
+/// Result of one connection.
+enum AttemptOutcome {
+    /// The client left, at the end of its life or before it got an answer.
+    Completed,
+    /// The proxy or the backend sent MOVE and ended the connection.
     Moved,
-    /// The connection broke or ended.
-    Broke,
-    /// Refused, with a time to stay away where one was told.
+    /// The connection broke or ended without MOVE.
+    Disconnected,
+    /// The request was refused, with the retry delay if the answer contained one.
     Busy(Option<Micros>),
-    /// Failed, or no answer.
+    /// The request failed or got no answer.
     Failed,
 }
 
 impl Client {
-    fn draw(&self, range: std::ops::Range<Micros>) -> Micros {
+    fn random_delay(&self, range: std::ops::Range<Micros>) -> Micros {
         self.rng.borrow_mut().random_range(range)
     }
 
-    /// Lives its life.
+    /// Runs the client until the end of its life.
     pub async fn live(self: Rc<Self>) {
         if let Some(bad) = self.spec.bad {
             return self.misbehave(bad).await;
         }
-        let begin = self.host.now();
-        let until = begin + self.spec.life_ms * 1_000;
-        let (mut again, mut retry, mut left) = (false, false, self.spec.retries);
-        while self.host.now() < until {
-            let end = self.attempt(until, again, retry).await;
-            retry = false;
-            let pause = match end {
-                End::Done => break,
-                End::Moved => {
-                    again = true;
+        let started_at = self.host.now();
+        let life_end = started_at + self.spec.life_ms * 1_000;
+        let (mut reconnecting, mut is_retry, mut retries_left) = (false, false, self.spec.retries);
+        while self.host.now() < life_end {
+            let outcome = self.attempt(life_end, reconnecting, is_retry).await;
+            is_retry = false;
+            let pause = match outcome {
+                AttemptOutcome::Completed => break,
+                AttemptOutcome::Moved => {
+                    reconnecting = true;
                     self.outcome.borrow_mut().moved += 1;
-                    self.draw(MOVED)
+                    self.random_delay(MOVE_RECONNECT_DELAY_US)
                 }
-                End::Broke => {
-                    again = true;
+                AttemptOutcome::Disconnected => {
+                    reconnecting = true;
                     self.outcome.borrow_mut().cut += 1;
-                    self.draw(REJOIN)
+                    self.random_delay(RECONNECT_DELAY_US)
                 }
-                End::Busy(_) | End::Failed if left > 0 => {
-                    (left, retry) = (left - 1, true);
-                    match end {
-                        End::Busy(Some(wait)) => wait.min(2_000_000),
-                        _ => self.draw(BACK_OFF),
+                AttemptOutcome::Busy(_) | AttemptOutcome::Failed if retries_left > 0 => {
+                    (retries_left, is_retry) = (retries_left - 1, true);
+                    match outcome {
+                        AttemptOutcome::Busy(Some(retry_after)) => retry_after.min(2_000_000),
+                        _ => self.random_delay(RETRY_DELAY_US),
                     }
                 }
                 _ => {
-                    left = self.spec.retries;
-                    self.draw(LATER)
+                    retries_left = self.spec.retries;
+                    self.random_delay(NEW_REQUEST_DELAY_US)
                 }
             };
             self.host.sleep_until(self.host.now() + pause).await;
         }
-        self.outcome.borrow_mut().wanted = self.host.now().min(until) - begin;
+        self.outcome.borrow_mut().wanted = self.host.now().min(life_end) - started_at;
     }
 
-    async fn attempt(&self, until: Micros, again: bool, retry: bool) -> End {
+    /// Connects, sends one request, and keeps the connection if the request is served.
+    async fn attempt(&self, life_end: Micros, reconnecting: bool, is_retry: bool) -> AttemptOutcome {
         let proxy = self.proxy_selector.pick(self.spec.zone, &mut self.rng.borrow_mut());
-        let Some(proxy) = proxy else { return End::Failed };
-        let wait = self.deadline_ms * 1_000;
-        let connect = within(&self.host, self.host.now() + wait, self.host.connect(proxy)).await;
-        let Some(Ok(stream)) = connect else { return End::Failed };
+        let Some(proxy) = proxy else { return AttemptOutcome::Failed };
+        let timeout = self.deadline_ms * 1_000;
+        let connected = within(&self.host, self.host.now() + timeout, self.host.connect(proxy)).await;
+        let Some(Ok(stream)) = connected else { return AttemptOutcome::Failed };
         let mut lines = Lines::new(stream);
         let tries = self.tries.replace(self.tries.get() + 1);
         let (id, key, group) = (format!("{:06x}{tries:02x}", self.index), self.spec.key, self.spec.group);
-        let again = if again { ",again=1" } else { "" };
-        let retry = if retry { ",r=1" } else { "" };
-        let opening = format!(
+        let again = if reconnecting { ",again=1" } else { "" };
+        let retry = if is_retry { ",r=1" } else { "" };
+        let request_line = format!(
             "OPEN {id} {key:016x} c=status-feed,d={},g={group:08x}{retry}{again}\r\n",
             self.deadline_ms
         );
         let stream = lines.stream.clone();
-        if write(&stream, opening.as_bytes()).await.is_err() {
-            return End::Failed;
+        if write(&stream, request_line.as_bytes()).await.is_err() {
+            return AttemptOutcome::Failed;
         }
-        let sent = self.host.now();
-        let leaves = self.spec.leaves_ms.map(|ms| sent + ms * 1_000);
-        let patience = leaves.unwrap_or(sent + wait).min(sent + wait);
-        let answer = within(&self.host, patience, lines.next()).await;
-        let word = |answer: &Option<Option<String>>| match answer {
+        let sent_at = self.host.now();
+        let leaves_at = self.spec.leaves_ms.map(|ms| sent_at + ms * 1_000);
+        let answer_by = leaves_at.unwrap_or(sent_at + timeout).min(sent_at + timeout);
+        let answer = within(&self.host, answer_by, lines.next()).await;
+        let classify = |answer: &Option<Option<String>>| match answer {
             Some(Some(line)) if line.starts_with("UP ") => 'U',
             Some(Some(line)) if line.starts_with("BUSY") => 'B',
             Some(Some(_)) => 'E',
             _ => '-',
         };
-        let answered = word(&answer);
-        self.outcome.borrow_mut().answers.push(answered);
-        match answered {
+        let answer_code = classify(&answer);
+        self.outcome.borrow_mut().answers.push(answer_code);
+        match answer_code {
             'U' => {}
             'B' => {
                 let line = answer.flatten().unwrap_or_default();
-                let wait = line.split(' ').nth(1).and_then(|ms| ms.parse::<u64>().ok());
-                return End::Busy(wait.map(|ms| ms * 1_000));
+                let retry_after_ms = line.split(' ').nth(1).and_then(|ms| ms.parse::<u64>().ok());
+                return AttemptOutcome::Busy(retry_after_ms.map(|ms| ms * 1_000));
             }
-            _ if leaves.is_some() => {
+            _ if leaves_at.is_some() => {
                 if self.spec.resets {
                     stream.reset_on_close();
                 }
-                return End::Done;
+                return AttemptOutcome::Completed;
             }
-            _ => return End::Failed,
+            _ => return AttemptOutcome::Failed,
         }
-        let up = self.host.now();
-        let end = self.stand(&mut lines, until).await;
-        self.outcome.borrow_mut().stood += self.host.now() - up;
-        end
+        let established_at = self.host.now();
+        let outcome = self.run_established(&mut lines, life_end).await;
+        self.outcome.borrow_mut().stood += self.host.now() - established_at;
+        outcome
     }
 
-    /// Its connection stands: a line every two seconds, until its life is over or the other side ends it.
-    async fn stand(&self, lines: &mut Lines, until: Micros) -> End {
+    /// Sends a line every two seconds on an established connection, until the end of the client's life or of
+    /// the connection.
+    async fn run_established(&self, lines: &mut Lines, life_end: Micros) -> AttemptOutcome {
         let stream = lines.stream.clone();
-        let mut next_line = self.host.now() + self.draw(0..LINE);
-        let mut waiting = std::collections::VecDeque::new();
+        let mut next_line = self.host.now() + self.random_delay(0..LINE_INTERVAL_US);
+        let mut sent_times = std::collections::VecDeque::new();
         let mut moved = false;
         let mut read_at = self.host.now();
         loop {
             let pause = self.spec.reads_ms.map_or(0, |ms| ms * 1_000);
-            let read = async {
+            let read_line = async {
                 if pause > 0 {
                     self.host.sleep_until(read_at).await;
                 }
@@ -215,31 +220,31 @@
             };
             tokio::select! {
                 biased;
-                line = read => {
+                line = read_line => {
                     read_at = self.host.now() + pause;
                     match line.as_deref() {
-                        None if moved => return End::Moved,
-                        None => return End::Broke,
+                        None if moved => return AttemptOutcome::Moved,
+                        None => return AttemptOutcome::Disconnected,
                         Some("MOVE") => moved = true,
                         Some(line) if line.starts_with("NEWS ") => {
                             let mut outcome = self.outcome.borrow_mut();
                             outcome.answered += 1;
-                            if let Some(since) = waiting.pop_front() {
+                            if let Some(since) = sent_times.pop_front() {
                                 outcome.in_time += u32::from(self.host.now() - since <= self.aim);
                             }
                         }
                         Some(_) => {}
                     }
                 }
-                () = self.host.sleep_until(next_line.min(until)) => {
-                    if self.host.now() >= until {
+                () = self.host.sleep_until(next_line.min(life_end)) => {
+                    if self.host.now() >= life_end {
                         break;
                     }
-                    next_line = self.host.now() + LINE;
-                    waiting.push_back(self.host.now());
+                    next_line = self.host.now() + LINE_INTERVAL_US;
+                    sent_times.push_back(self.host.now());
                     self.outcome.borrow_mut().lines += 1;
                     if write(&stream, b"SEEN\r\n").await.is_err() {
-                        return if moved { End::Moved } else { End::Broke };
+                        return if moved { AttemptOutcome::Moved } else { AttemptOutcome::Disconnected };
                     }
                 }
             }
@@ -247,13 +252,13 @@
         if self.spec.resets {
             stream.reset_on_close();
         } else if stream.finish().is_ok() {
-            let rest = async { while lines.next().await.is_some() {} };
-            within(&self.host, self.host.now() + GOODBYE, rest).await;
+            let discard = async { while lines.next().await.is_some() {} };
+            within(&self.host, self.host.now() + CLOSE_TIMEOUT_US, discard).await;
         }
-        End::Done
+        AttemptOutcome::Completed
     }
 
-    /// Keeps no protocol, and reads what it is sent.
+    /// Breaks the protocol, and reads everything that the proxy sends.
     async fn misbehave(&self, bad: Misbehavior) {
         let proxy = self.proxy_selector.pick(self.spec.zone, &mut self.rng.borrow_mut());
         let Some(proxy) = proxy else { return };
@@ -271,22 +276,22 @@
             Misbehavior::Commands => b"OPEN ba3 k c=status-feed,d=4800\r\n".repeat(300),
             Misbehavior::Huge => {
                 let mut line = b"OPEN ba4 k c=status-feed,d=4800,g=".to_vec();
-                line.resize(HUGE, b'9');
+                line.resize(HUGE_LINE_BYTES, b'9');
                 line
             }
         };
-        // Whether it is let write everything is the proxy's choice.
-        let say = async {
+        // The proxy may close the connection before all bytes are written.
+        let send = async {
             if write(&stream, &bytes).await.is_ok() && bad == Misbehavior::Half {
                 let _ = stream.finish();
             }
             std::future::pending::<()>().await;
         };
-        let hear = async { while lines.next().await.is_some() {} };
+        let receive = async { while lines.next().await.is_some() {} };
         tokio::select! {
             biased;
-            () = hear => {}
-            () = say => {}
+            () = receive => {}
+            () = send => {}
         }
     }
 }
