--- a/crates/world/src/backend.rs
+++ b/crates/world/src/backend.rs
@@ -1,5 +1,7 @@
-//! An execute node: cores, set-up work, load by connection and group, cold start, cap, queue and reports. It runs
-//! over a host, so that the same model serves on the virtual clock and on real sockets.
+//! Model of a backend: cores, setup work, load by connection and group, slow start, connection limit, queue
+//! and load reports.
+//!
+//! The model runs on a `Host`, so that it works on the virtual clock and on real sockets.
 
 use crate::lines::{Lines, write};
 use crate::rng::Rng;
@@ -11,66 +13,70 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// A mean connection's load; microseconds of work a second, for a core that fourteen or so fill.
-const MEAN_LOAD: f64 = 60_000.0;
-/// A message waits no longer than this, however full the node; microseconds.
-const LONGEST_DELAY: f64 = 3e6;
-/// Part of its capacity beyond which an execute node has no quick message any more.
-const FULL: f64 = 0.97;
-/// Its mean time between changes of a connection's load; microseconds.
-const CHANGE: Micros = 8_000_000;
+/// Load of an average connection, in microseconds of work per second. About fourteen such connections fill a
+/// core.
+const MEAN_LOAD_US: f64 = 60_000.0;
+/// Longest delay of a message, however overloaded the backend is.
+const MAX_MESSAGE_DELAY_US: f64 = 3e6;
+/// Share of the capacity beyond which message delays grow steeply.
+const SATURATION_SHARE: f64 = 0.97;
+/// The load of a connection changes after a random time between a quarter of this interval and all of it.
+const LOAD_CHANGE_INTERVAL_US: Micros = 8_000_000;
 
-/// How a cold start goes.
+/// Parameters of slow start.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStart {
-    /// Share of its capacity at the start.
+    /// Share of the capacity at the start.
     pub from: f64,
-    /// Warm after this; microseconds.
+    /// Duration of slow start.
     pub time: Micros,
 }
 
-/// What befalls all execute nodes or one of them while it runs.
+/// Injected degradation of a running backend.
 pub struct Degradation {
-    /// This many times slower.
+    /// Factor by which the backend is slower.
     pub slow: Cell<f64>,
-    /// Share that another program takes, on and off by the second.
+    /// Share of the capacity that another program takes, in every other second.
     pub neighbour: Cell<f64>,
-    /// Reports come this much later; microseconds.
+    /// Delay of the load reports.
     pub late: Rc<Cell<Micros>>,
 }
 
 impl Degradation {
-    /// Nothing out of the ordinary, with reports that are late as that says.
+    /// Returns no degradation, apart from the shared delay of the load reports.
     pub fn none(late: Rc<Cell<Micros>>) -> Rc<Self> {
         Rc::new(Degradation { slow: Cell::new(1.0), neighbour: Cell::new(0.0), late })
     }
 }
 
-struct Held {
+/// Load of one established connection.
+struct EstablishedConnection {
     load: f64,
     group: String,
 }
 
-/// One execute node's process.
+/// One backend process.
 pub struct Backend {
     spec: BackendSpec,
     host: Host,
     slow_start: SlowStart,
-    /// When it started, if cold.
+    /// Time of the start, if the backend is subject to slow start.
     cold_since: Option<Micros>,
     degradation: Rc<Degradation>,
     rng: RefCell<Rng>,
-    held: RefCell<BTreeMap<u64, Held>>,
-    next: Cell<u64>,
-    queued: Cell<usize>,
-    free_at: Cell<Micros>,
+    connections: RefCell<BTreeMap<u64, EstablishedConnection>>,
+    next_connection_id: Cell<u64>,
+    setups_in_progress: Cell<usize>,
+    /// Time at which the setup work of all accepted requests is done.
+    setup_free_at: Cell<Micros>,
     draining: Cell<bool>,
-    leave: Notify,
+    drain_requested: Notify,
+    /// Load reports with their times, the oldest first.
     reports: RefCell<Vec<(Micros, String)>>,
 }
 
 impl Backend {
-    /// An execute node that has just started, cold if a time says so.
+    /// Creates a backend that has just started; it is subject to slow start if `cold_since` is given.
     pub fn new(
         spec: BackendSpec,
         host: Host,
@@ -86,89 +92,98 @@
             cold_since,
             degradation,
             rng: RefCell::new(rng),
-            held: RefCell::default(),
-            next: Cell::new(0),
-            queued: Cell::new(0),
-            free_at: Cell::new(0),
+            connections: RefCell::default(),
+            next_connection_id: Cell::new(0),
+            setups_in_progress: Cell::new(0),
+            setup_free_at: Cell::new(0),
             draining: Cell::new(false),
-            leave: Notify::new(),
+            drain_requested: Notify::new(),
             reports: RefCell::default(),
         })
     }
 
-    /// Serves for as long as its process lives.
+    /// Accepts connections for as long as the process runs.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
                     let backend = self.clone();
-                    self.host.spawn(async move { backend.hear(stream).await });
+                    self.host.spawn(async move { backend.handle_connection(stream).await });
                 }
                 Err(_) => self.host.sleep_until(self.host.now() + 10_000).await,
             }
         }
     }
 
-    /// It finishes what it has and takes nothing new; some ask their clients to leave.
+    /// Refuses new requests from now on and keeps the established connections. Sends MOVE on them if the
+    /// script says so.
     pub fn drain(&self) {
         self.draining.set(true);
         if self.spec.sends_away {
-            self.leave.notify_waiters();
+            self.drain_requested.notify_waiters();
         }
     }
 
-    /// Part of its speed that it has now.
-    fn vigour(&self) -> f64 {
+    /// Returns the share of its full speed that the backend has now.
+    fn current_speed_share(&self) -> f64 {
         let now = self.host.now();
         let age = self.cold_since.map_or(self.slow_start.time, |since| now.saturating_sub(since));
-        let warm = (age as f64 / self.slow_start.time as f64).min(1.0);
-        let cold = self.slow_start.from + (1.0 - self.slow_start.from) * warm;
-        let on = (now / 1_000_000).is_multiple_of(2);
-        let taken = if on { self.degradation.neighbour.get() } else { 0.0 };
-        cold * (1.0 - taken) / self.degradation.slow.get()
+        let ramp_progress = (age as f64 / self.slow_start.time as f64).min(1.0);
+        let slow_start_share = self.slow_start.from + (1.0 - self.slow_start.from) * ramp_progress;
+        let neighbour_active = (now / 1_000_000).is_multiple_of(2);
+        let neighbour_share = if neighbour_active { self.degradation.neighbour.get() } else { 0.0 };
+        slow_start_share * (1.0 - neighbour_share) / self.degradation.slow.get()
     }
 
-    /// Load asked of it over what it can do.
-    fn load(&self) -> f64 {
-        let held = self.held.borrow();
+    /// Returns the load of all connections and groups as a share of the current capacity.
+    fn utilization(&self) -> f64 {
+        let connections = self.connections.borrow();
         let groups: std::collections::BTreeSet<&str> =
-            held.values().map(|held| held.group.as_str()).collect();
-        let asked = held.values().map(|held| held.load).sum::<f64>() + groups.len() as f64;
-        asked / capacity(&self.spec) / self.vigour()
+            connections.values().map(|connection| connection.group.as_str()).collect();
+        let total_load =
+            connections.values().map(|connection| connection.load).sum::<f64>() + groups.len() as f64;
+        total_load / capacity(&self.spec) / self.current_speed_share()
     }
 
-    /// How long a message takes.
-    fn delay(&self) -> Micros {
-        let (load, work) = (self.load(), self.spec.message_ms * 1e3 / self.spec.speed / self.vigour());
-        let waits = work / (1.0 - load.min(FULL)) + (load - FULL).max(0.0) * 1e6;
+    /// Returns the delay of a message.
+    fn message_delay(&self) -> Micros {
+        let (utilization, work) =
+            (self.utilization(), self.spec.message_ms * 1e3 / self.spec.speed / self.current_speed_share());
+        let waits = work / (1.0 - utilization.min(SATURATION_SHARE))
+            + (utilization - SATURATION_SHARE).max(0.0) * 1e6;
         let noise = 0.8 + 0.4 * self.rng.borrow_mut().random::<f64>();
-        (waits * noise).min(LONGEST_DELAY) as Micros
+        (waits * noise).min(MAX_MESSAGE_DELAY_US) as Micros
     }
 
-    /// The report of a while ago, made anew now and then.
-    fn report(&self) -> String {
+    /// Returns the newest load report that is old enough to be visible, after adding a report if one is due.
+    fn load_report(&self) -> String {
         let now = self.host.now();
         let mut reports = self.reports.borrow_mut();
         if reports.last().is_none_or(|(at, _)| at + self.spec.report_ms * 1_000 <= now) {
-            let off = 1.0 + self.spec.noise * (self.rng.borrow_mut().random::<f64>() * 2.0 - 1.0);
-            let (load, work) = (self.load() * off, self.spec.message_ms / self.spec.speed / self.vigour());
-            let text = format!("x0={load:.4},latency_ms={work:.2},eps=0,util={:.3}", load.min(1.0));
+            let noise_factor = 1.0 + self.spec.noise * (self.rng.borrow_mut().random::<f64>() * 2.0 - 1.0);
+            let (utilization, work) = (
+                self.utilization() * noise_factor,
+                self.spec.message_ms / self.spec.speed / self.current_speed_share(),
+            );
+            let text =
+                format!("x0={utilization:.4},latency_ms={work:.2},eps=0,util={:.3}", utilization.min(1.0));
             reports.push((now, text));
         }
-        let seen = now.saturating_sub(self.degradation.late.get());
-        let known = reports.iter().rposition(|(at, _)| *at <= seen).unwrap_or(0);
-        reports.drain(..known);
+        let visible_until = now.saturating_sub(self.degradation.late.get());
+        let newest_visible = reports.iter().rposition(|(at, _)| *at <= visible_until).unwrap_or(0);
+        reports.drain(..newest_visible);
         reports[0].1.clone()
     }
 
-    async fn hear(self: Rc<Self>, stream: TcpStream) {
+    /// Answers probes, and handles the first request on a connection.
+    async fn handle_connection(self: Rc<Self>, stream: TcpStream) {
         let mut lines = Lines::new(stream);
         while let Some(line) = lines.next().await {
             let answer = match line.as_str() {
                 "PING" => "PONG\r\n".to_string(),
-                "STATS" => format!("PONG {}\r\n", self.report()),
-                _ => match opening(&line) {
-                    Some((group, wait)) => return self.open(lines, group, wait).await,
+                "STATS" => format!("PONG {}\r\n", self.load_report()),
+                _ => match parse_request(&line) {
+                    Some((group, timeout)) => return self.handle_request(lines, group, timeout).await,
                     None => "ERR\r\n".to_string(),
                 },
             };
@@ -178,40 +193,46 @@
         }
     }
 
-    async fn open(self: Rc<Self>, mut lines: Lines, group: String, wait: Micros) {
+    /// Sets up a connection and serves it, or refuses the request.
+    async fn handle_request(self: Rc<Self>, mut lines: Lines, group: String, timeout: Micros) {
         let now = self.host.now();
-        let full = self.queued.get() >= self.spec.queue || self.held.borrow().len() >= self.spec.cap;
-        if full || self.draining.get() {
-            let words = format!("BUSY {}\r\n", self.report());
-            // Whoever has left meanwhile needs no answer.
-            let _ = write(&lines.stream, words.as_bytes()).await;
+        let at_capacity = self.setups_in_progress.get() >= self.spec.queue
+            || self.connections.borrow().len() >= self.spec.cap;
+        if at_capacity || self.draining.get() {
+            let text = format!("BUSY {}\r\n", self.load_report());
+            // A client that has left meanwhile needs no answer.
+            let _ = write(&lines.stream, text.as_bytes()).await;
             return;
         }
-        let work = self.spec.setup_ms * 1e3 / f64::from(self.spec.cores) / self.spec.speed / self.vigour();
-        let ready = self.free_at.get().max(now) + work as Micros;
-        self.free_at.set(ready);
-        self.queued.set(self.queued.get() + 1);
+        let work = self.spec.setup_ms * 1e3
+            / f64::from(self.spec.cores)
+            / self.spec.speed
+            / self.current_speed_share();
+        let ready = self.setup_free_at.get().max(now) + work as Micros;
+        self.setup_free_at.set(ready);
+        self.setups_in_progress.set(self.setups_in_progress.get() + 1);
         self.host.sleep_until(ready).await;
-        self.queued.set(self.queued.get() - 1);
-        if self.host.now() > now + wait || self.draining.get() {
+        self.setups_in_progress.set(self.setups_in_progress.get() - 1);
+        if self.host.now() > now + timeout || self.draining.get() {
             let _ = write(&lines.stream, b"BUSY\r\n").await;
             return;
         }
-        let number = self.next.replace(self.next.get() + 1);
+        let connection_id = self.next_connection_id.replace(self.next_connection_id.get() + 1);
         let load = 0.4 + 1.2 * self.rng.borrow_mut().random::<f64>();
-        self.held.borrow_mut().insert(number, Held { load, group });
-        let place = Place { backend: self.clone(), number };
-        if write(&lines.stream, format!("UP r{number}\r\n").as_bytes()).await.is_ok() {
-            self.serve_lines(&mut lines, number).await;
+        self.connections.borrow_mut().insert(connection_id, EstablishedConnection { load, group });
+        let slot = ConnectionSlot { backend: self.clone(), connection_id };
+        if write(&lines.stream, format!("UP r{connection_id}\r\n").as_bytes()).await.is_ok() {
+            self.serve_lines(&mut lines, connection_id).await;
         }
-        drop(place);
+        drop(slot);
     }
 
-    /// Answers each line after its delay, tells the load when it changes, and leaves when told.
-    async fn serve_lines(&self, lines: &mut Lines, number: u64) {
+    /// Answers each line after its delay, reports changes of the load, and sends MOVE on a drain.
+    async fn serve_lines(&self, lines: &mut Lines, connection_id: u64) {
         let stream = lines.stream.clone();
-        let mut change = self.host.now() + self.rng.borrow_mut().random_range(CHANGE / 4..CHANGE);
-        let mut news = 0;
+        let mut next_load_change_at = self.host.now()
+            + self.rng.borrow_mut().random_range(LOAD_CHANGE_INTERVAL_US / 4..LOAD_CHANGE_INTERVAL_US);
+        let mut message_count = 0;
         loop {
             tokio::select! {
                 biased;
@@ -219,25 +240,32 @@
                     if line.is_none() {
                         return;
                     }
-                    self.host.sleep_until(self.host.now() + self.delay()).await;
-                    news += 1;
-                    if write(&stream, format!("NEWS {number}-{news}\r\n").as_bytes()).await.is_err() {
+                    self.host.sleep_until(self.host.now() + self.message_delay()).await;
+                    message_count += 1;
+                    if write(&stream, format!("NEWS {connection_id}-{message_count}\r\n").as_bytes())
+                        .await
+                        .is_err()
+                    {
                         return;
                     }
                 }
-                () = self.host.sleep_until(change) => {
+                () = self.host.sleep_until(next_load_change_at) => {
                     let load = 0.3 + 1.4 * self.rng.borrow_mut().random::<f64>();
-                    if let Some(held) = self.held.borrow_mut().get_mut(&number) {
-                        held.load = load;
+                    if let Some(connection) = self.connections.borrow_mut().get_mut(&connection_id) {
+                        connection.load = load;
                     }
-                    change = self.host.now() + self.rng.borrow_mut().random_range(CHANGE / 4..CHANGE);
-                    let words = format!("LOAD {:.0}\r\n", load * MEAN_LOAD);
-                    if write(&stream, words.as_bytes()).await.is_err() {
+                    next_load_change_at = self.host.now()
+                        + self
+                            .rng
+                            .borrow_mut()
+                            .random_range(LOAD_CHANGE_INTERVAL_US / 4..LOAD_CHANGE_INTERVAL_US);
+                    let text = format!("LOAD {:.0}\r\n", load * MEAN_LOAD_US);
+                    if write(&stream, text.as_bytes()).await.is_err() {
                         return;
                     }
                 }
-                () = self.leave.notified() => {
-                    // Spread a little, and politely: the end of the connection follows.
+                () = self.drain_requested.notified() => {
+                    // Spreads the moves over a short time; the end of the connection follows the MOVE.
                     let wait = self.rng.borrow_mut().random_range(0..800_000);
                     self.host.sleep_until(self.host.now() + wait).await;
                     let _ = write(&stream, b"MOVE\r\n").await;
@@ -248,25 +276,25 @@
     }
 }
 
-/// Connections of mean load that fill an execute node.
+/// Returns the number of connections of average load that fill a backend.
 pub fn capacity(spec: &BackendSpec) -> f64 {
     f64::from(spec.cores) * spec.speed * spec.per_core
 }
 
-/// A connection's place, free again however it ends.
-struct Place {
+/// Slot of an established connection; dropping it frees the slot, however the connection ends.
+struct ConnectionSlot {
     backend: Rc<Backend>,
-    number: u64,
+    connection_id: u64,
 }
 
-impl Drop for Place {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
-        self.backend.held.borrow_mut().remove(&self.number);
+        self.backend.connections.borrow_mut().remove(&self.connection_id);
     }
 }
 
-/// The group and the wait of an opening; none where it is not understood.
-fn opening(line: &str) -> Option<(String, Micros)> {
+/// Returns the group and the timeout of a request line, or `None` if the line is invalid.
+fn parse_request(line: &str) -> Option<(String, Micros)> {
     let mut words = line.strip_prefix("OPEN ")?.split(' ');
     let fields = words.nth(2)?;
     let field = |name: &str| fields.split(',').find_map(|field| field.strip_prefix(name)?.strip_prefix('='));
