--- /dev/null
+++ b/crates/pierloom/tests/harness/mod.rs
@@ -0,0 +1,703 @@
+//! Test harness: starts the real program and stands in for its clients, its backends and discovery.
+//! Tests wait for events, with time limits far beyond what a passing run needs.
+
+use std::collections::VecDeque;
+use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::process::{Child, Command, ExitStatus, Stdio};
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::sync::mpsc::{Receiver, RecvTimeoutError, channel};
+use std::sync::{Arc, Condvar, Mutex};
+use std::thread;
+use std::time::{Duration, Instant};
+
+/// Longest time that a test waits for an event. A wait that takes longer fails the test.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
+
+/// Polls `condition` until it returns a value; `None` after `TEST_TIMEOUT`.
+pub fn poll_until<T>(condition: impl Fn() -> Option<T>) -> Option<T> {
+    let start = Instant::now();
+    while start.elapsed() < TEST_TIMEOUT {
+        if let Some(value) = condition() {
+            return Some(value);
+        }
+        thread::sleep(Duration::from_millis(2));
+    }
+    None
+}
+
+/// One end of a TCP connection, read line by line.
+pub struct Peer {
+    reader: BufReader<TcpStream>,
+}
+
+impl Peer {
+    pub fn new(stream: TcpStream) -> Self {
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+        Peer { reader: BufReader::new(stream) }
+    }
+
+    pub fn connect(address: SocketAddr) -> Self {
+        Peer::new(TcpStream::connect(address).unwrap())
+    }
+
+    pub fn stream(&self) -> &TcpStream {
+        self.reader.get_ref()
+    }
+
+    pub fn send(&mut self, text: &str) {
+        self.reader.get_mut().write_all(text.as_bytes()).unwrap();
+    }
+
+    /// Reads the next line with its terminator; empty once the other side has closed.
+    pub fn line(&mut self) -> String {
+        let mut line = String::new();
+        self.reader.read_line(&mut line).unwrap();
+        line
+    }
+
+    /// Reads the next line, or describes how the connection ended instead.
+    pub fn answer(&mut self) -> String {
+        let mut line = String::new();
+        match self.reader.read_line(&mut line) {
+            Ok(0) => "closed with no answer".into(),
+            Ok(_) => line,
+            Err(e) => format!("{:?} with no answer", e.kind()),
+        }
+    }
+
+    /// Reads the next line, if it arrives within `time`.
+    pub fn line_within(&mut self, time: Duration) -> Option<String> {
+        self.stream().set_read_timeout(Some(time)).unwrap();
+        let mut line = String::new();
+        let read = self.reader.read_line(&mut line);
+        self.stream().set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+        read.ok().map(|_| line)
+    }
+
+    pub fn read(&mut self, bytes: usize) -> Vec<u8> {
+        let mut all = vec![0; bytes];
+        self.reader.read_exact(&mut all).unwrap();
+        all
+    }
+
+    /// Reads until the connection ends. Returns the bytes received, and whether the connection was reset.
+    pub fn read_to_end(&mut self) -> (String, bool) {
+        let mut rest = Vec::new();
+        let end = self.reader.read_to_end(&mut rest);
+        let reset = match end {
+            Ok(_) => false,
+            Err(e) if e.kind() == ErrorKind::ConnectionReset => true,
+            Err(e) => panic!("neither an end nor a reset: {e}"),
+        };
+        (String::from_utf8(rest).unwrap(), reset)
+    }
+
+    pub fn shutdown_write(&self) {
+        self.stream().shutdown(std::net::Shutdown::Write).unwrap();
+    }
+
+    /// Closes the connection with a TCP reset.
+    pub fn reset(self) {
+        socket2::SockRef::from(self.stream()).set_linger(Some(Duration::ZERO)).unwrap();
+    }
+}
+
+/// A stand-in backend: a listener whose connections wait until the test accepts them.
+pub struct Backend {
+    pub name: &'static str,
+    address: SocketAddr,
+    accepted: Receiver<TcpStream>,
+}
+
+impl Backend {
+    pub fn new(name: &'static str) -> Self {
+        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+        let address = listener.local_addr().unwrap();
+        let (sender, accepted) = channel();
+        thread::spawn(move || listener.incoming().flatten().try_for_each(|stream| sender.send(stream)));
+        Backend { name, address, accepted }
+    }
+
+    pub fn accept(&self) -> Peer {
+        Peer::new(self.accepted.recv_timeout(TEST_TIMEOUT).expect("a connection"))
+    }
+
+    /// Accepts a connection and reads its first line.
+    pub fn accept_open(&self) -> (Peer, String) {
+        let mut peer = self.accept();
+        let line = peer.line();
+        (peer, line)
+    }
+
+    /// Accepts a connection and reads its first line, if a connection is waiting.
+    pub fn try_accept_open(&self) -> Option<(Peer, String)> {
+        let mut peer = Peer::new(self.accepted.try_recv().ok()?);
+        let line = peer.line();
+        Some((peer, line))
+    }
+
+    /// Whether no connection has arrived beyond those that the test accepted.
+    pub fn has_no_new_connection(&self) -> bool {
+        self.accepted.try_recv().is_err()
+    }
+
+    pub fn entry(&self, status: &str) -> String {
+        entry(self.name, self.address, status)
+    }
+
+    /// Endpoint entries named `s-{i}` that all have the address of this backend.
+    pub fn entries(&self, names: std::ops::Range<usize>, status: &str) -> Vec<String> {
+        names.map(|i| entry(&format!("s-{i}"), self.address, status)).collect()
+    }
+}
+
+/// A stand-in backend whose accept queue can be filled. The next connection is then established only after
+/// the test empties the queue, when the kernel retransmits the SYN, within about a second.
+pub struct FullQueueBackend {
+    pub name: &'static str,
+    listener: socket2::Socket,
+    address: SocketAddr,
+    queued: Vec<TcpStream>,
+}
+
+impl FullQueueBackend {
+    pub fn new(name: &'static str) -> Self {
+        let listener = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+        listener.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+        listener.listen(0).unwrap();
+        let address = listener.local_addr().unwrap().as_socket().unwrap();
+        FullQueueBackend { name, listener, address, queued: Vec::new() }
+    }
+
+    /// Accepts the next connection.
+    pub fn accept(&self) -> Peer {
+        Peer::new(self.listener.accept().unwrap().0.into())
+    }
+
+    /// Fills the accept queue with connections of the test.
+    pub fn fill_queue(&mut self) {
+        while let Ok(stream) = TcpStream::connect_timeout(&self.address, Duration::from_millis(100)) {
+            self.queued.push(stream);
+        }
+    }
+
+    /// Accepts the connections that fill the queue, and returns the first one that the test did not make.
+    pub fn accept_after_queue(&mut self) -> Peer {
+        let made_by_test =
+            |from: SocketAddr| self.queued.iter().any(|stream| stream.local_addr().unwrap() == from);
+        loop {
+            let (stream, from) = self.listener.accept().unwrap();
+            if !made_by_test(from.as_socket().unwrap()) {
+                return Peer::new(stream.into());
+            }
+        }
+    }
+
+    pub fn entry(&self, status: &str) -> String {
+        entry(self.name, self.address, status)
+    }
+}
+
+/// An endpoint entry as discovery reports it.
+pub fn entry(name: &str, address: SocketAddr, status: &str) -> String {
+    format!(
+        r#"{{"name":"{name}","address":"{address}","zone":"a","type":"m","group":0,"status":"{status}","weight":1.0,"since_ms":0}}"#
+    )
+}
+
+/// A call that discovery received, and the number of its connection; `from` is 0 for a snapshot. Calls that
+/// only open a watch are left out.
+pub struct DiscoveryCall {
+    pub connection: usize,
+    pub from: u64,
+    pub at: Instant,
+}
+
+#[derive(Default)]
+struct DiscoveryState {
+    index: u64,
+    updates: VecDeque<(u64, String)>,
+    failures: u32,
+    /// Answers that are sent unchanged. The connection is closed after each.
+    raw_answers: VecDeque<String>,
+    /// Number of connections accepted so far.
+    accepted: usize,
+    /// Calls on connections below this number get no answer.
+    unanswered_below: usize,
+    /// Calls on connections below this number do not fail.
+    not_failed_below: usize,
+    /// How long a call that opens a watch waits behind calls of other proxies, even if its caller has gone.
+    queue_delay: Duration,
+}
+
+/// A stand-in for the discovery service.
+pub struct Discovery {
+    pub address: SocketAddr,
+    state: Arc<(Mutex<DiscoveryState>, Condvar)>,
+    pub calls: Receiver<DiscoveryCall>,
+}
+
+impl Discovery {
+    pub fn new() -> Self {
+        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+        let address = listener.local_addr().unwrap();
+        let state =
+            Arc::new((Mutex::new(DiscoveryState { index: 1, ..DiscoveryState::default() }), Condvar::new()));
+        let (sender, calls) = channel();
+        let shared = state.clone();
+        thread::spawn(move || {
+            for (connection, stream) in listener.incoming().flatten().enumerate() {
+                let (state, sender) = (shared.clone(), sender.clone());
+                state.0.lock().unwrap().accepted = connection + 1;
+                thread::spawn(move || {
+                    let (mut peer, mut first) = (Peer::new(stream), true);
+                    loop {
+                        let head = peer.line();
+                        while !peer.line().trim().is_empty() {}
+                        if head.is_empty() {
+                            return;
+                        }
+                        let from = head.split("from=").nth(1).and_then(|rest| rest.split('&').next());
+                        let from = from.map_or(0, |from| from.parse().unwrap());
+                        let may_wait = !head.contains("hold_ms=0 ");
+                        // Only the first call of a connection is queued; later ones continue its watch.
+                        let queue_delay = state.0.lock().unwrap().queue_delay;
+                        thread::sleep(if std::mem::take(&mut first) { queue_delay } else { Duration::ZERO });
+                        // A call that may not wait and finds nothing new only opens a watch.
+                        let answers_normally =
+                            |state: &DiscoveryState| state.failures == 0 && state.raw_answers.is_empty();
+                        let is_current = |state: &DiscoveryState| {
+                            connection >= state.unanswered_below
+                                && answers_normally(state)
+                                && state.index == from
+                        };
+                        if !may_wait && is_current(&state.0.lock().unwrap()) {
+                            let body = format!(r#"{{"index":{from},"snapshot":false,"endpoints":[]}}"#);
+                            peer.send(&http_response(&body, body.len()));
+                            continue;
+                        }
+                        if sender.send(DiscoveryCall { connection, from, at: Instant::now() }).is_err() {
+                            return;
+                        }
+                        let (text, closes) = next_answer(&state, from, connection);
+                        // The proxy may have closed the connection before it read all of a raw answer.
+                        let sent = peer.stream().write_all(text.as_bytes());
+                        if closes || sent.is_err() {
+                            return;
+                        }
+                    }
+                });
+            }
+        });
+        Discovery { address, state, calls }
+    }
+
+    /// Publishes a change to all proxies that watch.
+    pub fn publish(&self, entry: &str) {
+        let mut state = self.state.0.lock().unwrap();
+        state.index += 1;
+        let index = state.index;
+        state.updates.push_back((index, entry.to_string()));
+        self.state.1.notify_all();
+    }
+
+    /// Answers the waiting call with `text`, unchanged, and closes its connection.
+    pub fn send_raw_answer(&self, text: String) {
+        self.state.0.lock().unwrap().raw_answers.push_back(text);
+        self.state.1.notify_all();
+    }
+
+    /// Sends no more answers on the connections accepted so far: calls there wait without end.
+    pub fn stop_answering(&self) {
+        let mut state = self.state.0.lock().unwrap();
+        state.unanswered_below = state.accepted;
+    }
+
+    /// Answers again on the connections that `stop_answering` silenced; calls on all others fail.
+    pub fn answer_old_connections(&self) {
+        let mut state = self.state.0.lock().unwrap();
+        (state.not_failed_below, state.failures, state.unanswered_below) =
+            (state.unanswered_below, u32::MAX, 0);
+        self.state.1.notify_all();
+    }
+
+    /// Waits until a proxy connects.
+    pub fn wait_until_connected(&self) {
+        poll_until(|| (self.state.0.lock().unwrap().accepted > 0).then_some(())).expect("a connection");
+    }
+
+    /// Delays each call that opens a watch, as if calls of other proxies were queued before it.
+    pub fn set_queue_delay(&self, queue_delay: Duration) {
+        self.state.0.lock().unwrap().queue_delay = queue_delay;
+    }
+
+    /// Fails that many calls, the waiting one included.
+    pub fn fail_calls(&self, calls: u32) {
+        self.state.0.lock().unwrap().failures = calls;
+        self.state.1.notify_all();
+    }
+}
+
+/// Waits for the next answer to a call. Returns its text, and whether the connection closes after it.
+fn next_answer(shared: &(Mutex<DiscoveryState>, Condvar), from: u64, connection: usize) -> (String, bool) {
+    let fails = |state: &DiscoveryState| state.failures > 0 && connection >= state.not_failed_below;
+    let must_wait = |state: &mut DiscoveryState| {
+        connection < state.unanswered_below
+            || state.index <= from && !fails(state) && state.raw_answers.is_empty()
+    };
+    let mut state = shared.1.wait_timeout_while(shared.0.lock().unwrap(), TEST_TIMEOUT, must_wait).unwrap().0;
+    if fails(&state) {
+        state.failures -= 1;
+        return ("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".into(), false);
+    }
+    if let Some(text) = state.raw_answers.pop_front() {
+        return (text, true);
+    }
+    let updates = state.updates.iter().filter(|(index, _)| *index > from).map(|(_, entry)| entry.as_str());
+    let entries = updates.collect::<Vec<_>>().join(",");
+    let (index, is_snapshot) = (state.index, from == 0);
+    let body = format!(r#"{{"index":{index},"snapshot":{is_snapshot},"endpoints":[{entries}]}}"#);
+    (http_response(&body, body.len()), false)
+}
+
+/// An HTTP response with this body and this `Content-Length`, which may differ from the actual length.
+pub fn http_response(body: &str, length: usize) -> String {
+    format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{body}")
+}
+
+/// Calls a console. Returns the status and the body of the answer, and how long the call took.
+pub fn call_console(console: SocketAddr, method: &str, path: &str) -> (u16, String, Duration) {
+    let since = Instant::now();
+    let mut peer = Peer::connect(console);
+    peer.send(&format!("{method} {path} HTTP/1.1\r\nHost: staff\r\n\r\n"));
+    let (answer, _) = peer.read_to_end();
+    let status = answer.split(' ').nth(1).and_then(|status| status.parse().ok()).expect(&answer);
+    let body = answer.split_once("\r\n\r\n").expect(&answer).1;
+    (status, body.to_string(), since.elapsed())
+}
+
+/// The value of a metric on a metrics page, by its full name with labels.
+pub fn metric_value(page: &str, name: &str) -> u64 {
+    let line = page.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
+    line.unwrap_or_else(|| panic!("no {name} in {page}")).parse().unwrap()
+}
+
+/// The default settings of these tests.
+pub const SETTINGS: &str = r#"{"balancers":1,"zone":"a","zones":["a"],"membership-mode":"ask","weights":"nominal",
+ "bounds":{"max-attempts":4,"connect-timeout":0.2,"retry-after":true,"max-retry-after":2.0},
+ "classes":[{"name":"feed","target":0.8,"deadline":4.8,"effect":"repeatable","group":"all"}],
+ "feedback":{"columns":["x0","svc_ms"],"how":"probe"},
+ "family-info":{"groups":true,"message-aim":[0.06]}}"#;
+
+/// A running proxy process with its config file and its stand-in discovery service.
+pub struct Proxy {
+    child: Child,
+    pub address: SocketAddr,
+    pub discovery: Discovery,
+    log: Receiver<String>,
+    config: String,
+    config_path: std::path::PathBuf,
+}
+
+/// The environment variables that the program reads.
+const PROGRAM_VARIABLES: [&str; 5] = ["LB_NAME", "LB_LISTEN", "LB_DISCOVERY", "LB_CONFIG", "LB_CONSOLE"];
+
+/// A command that runs the program without the variables of `PROGRAM_VARIABLES`.
+pub fn program_command(arguments: &[&str]) -> Command {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_pierloom"));
+    for name in PROGRAM_VARIABLES {
+        command.env_remove(name);
+    }
+    command.args(arguments).stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::piped());
+    command
+}
+
+/// A command that runs `strace` with these arguments, detached: the started process is the traced program.
+pub fn strace_command(tracing: &[&str]) -> Command {
+    let mut command = Command::new("strace");
+    for name in PROGRAM_VARIABLES {
+        command.env_remove(name);
+    }
+    command.args(["-D", "-f", "-qq", "-o", "/dev/null"]).args(tracing);
+    command.stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::piped());
+    command
+}
+
+/// A folder shared by proxy processes that upgrade each other.
+pub struct Folder(pub std::path::PathBuf);
+
+impl Folder {
+    pub fn new(name: &str) -> Self {
+        // The path is short because the length of a Unix socket path is limited.
+        let path = std::env::temp_dir().join(format!("pierloom-{}-{name}", std::process::id()));
+        std::fs::create_dir_all(&path).unwrap();
+        Folder(path)
+    }
+
+    pub fn file(&self, name: &str) -> std::path::PathBuf {
+        self.0.join(name)
+    }
+}
+
+impl Drop for Folder {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.0);
+    }
+}
+
+/// Writes a config file into its own folder.
+pub fn write_config_file(name: &str, text: &str) -> std::path::PathBuf {
+    let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
+    std::fs::create_dir_all(&folder).unwrap();
+    let path = folder.join("config.json");
+    std::fs::write(&path, text).unwrap();
+    path
+}
+
+/// The text of a config file with this discovery address, descriptor limit, endpoint entries and settings.
+pub fn config_text(discovery: SocketAddr, sockets: u32, entries: &str, settings: &str) -> String {
+    format!(
+        r#"{{"name":"p0","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"00000000000000a7",
+ "limits":{{"cores":1.0,"memory_mb":192,"sockets":{sockets}}},
+ "known":{{"index":1,"snapshot":true,"endpoints":[{entries}]}},"settings":{settings}}}"#
+    )
+}
+
+impl Proxy {
+    /// Starts a proxy whose initial endpoints are these backends, all ready.
+    pub fn start(name: &str, backends: &[&Backend]) -> Self {
+        let entries: Vec<String> = backends.iter().map(|backend| backend.entry("ready")).collect();
+        Proxy::start_with(name, 1024, &entries, SETTINGS)
+    }
+
+    /// Starts a proxy that the system limits to `descriptors`, while its config names `sockets`.
+    pub fn start_limited(name: &str, descriptors: u32, sockets: u32, entries: &[String]) -> Self {
+        let mut shell = Command::new("sh");
+        shell.args(["-c", &format!("ulimit -n {descriptors}; exec \"$0\" serve")]);
+        shell.arg(env!("CARGO_BIN_EXE_pierloom")).stderr(Stdio::piped());
+        Proxy::start_command(shell, name, sockets, entries, SETTINGS)
+    }
+
+    /// Starts a proxy with this descriptor limit, these initial endpoints and these settings.
+    pub fn start_with(name: &str, sockets: u32, entries: &[String], settings: &str) -> Self {
+        Proxy::start_command(program_command(&["serve"]), name, sockets, entries, settings)
+    }
+
+    /// Starts a proxy under `strace` with these arguments; signals go to the proxy itself.
+    pub fn start_traced(name: &str, tracing: &[&str], entries: &[String], settings: &str) -> Self {
+        let mut command = strace_command(tracing);
+        command.args([env!("CARGO_BIN_EXE_pierloom"), "serve"]);
+        Proxy::start_command(command, name, 1024, entries, settings)
+    }
+
+    /// Starts a proxy with a discovery address that other proxies may share, or where no service listens.
+    pub fn start_with_discovery(name: &str, discovery: SocketAddr, backends: &[Backend]) -> Self {
+        let mut command = program_command(&["serve"]);
+        command.env("LB_DISCOVERY", discovery.to_string());
+        let entries: Vec<String> = backends.iter().map(|backend| backend.entry("ready")).collect();
+        // The discovery address of the config takes effect at a reload.
+        Proxy::start_command(command, name, 1024, &entries, SETTINGS)
+    }
+
+    /// Starts a proxy with a console. Returns the proxy and the address of its console.
+    pub fn start_with_console(
+        name: &str,
+        sockets: u32,
+        entries: &[String],
+        settings: &str,
+    ) -> (Self, SocketAddr) {
+        let mut command = program_command(&["serve"]);
+        command.env("LB_CONSOLE", "127.0.0.1:0");
+        let proxy = Proxy::start_command(command, name, sockets, entries, settings);
+        let line = proxy.next_log_line();
+        let console = line.rsplit(' ').next().unwrap().parse().expect(&line);
+        (proxy, console)
+    }
+
+    /// Starts a proxy with a console, at `listen` or a free address. Its successor shares the folder.
+    pub fn start_in_folder(
+        folder: &Folder,
+        listen: Option<SocketAddr>,
+        entries: &[String],
+    ) -> (Self, SocketAddr) {
+        Proxy::start_sharing_folder(program_command(&["serve"]), folder, listen, entries)
+    }
+
+    /// The same as `start_in_folder`, under `strace` with these arguments.
+    pub fn start_in_folder_traced(
+        folder: &Folder,
+        tracing: &[&str],
+        entries: &[String],
+    ) -> (Self, SocketAddr) {
+        let mut command = strace_command(tracing);
+        command.args([env!("CARGO_BIN_EXE_pierloom"), "serve"]);
+        Proxy::start_sharing_folder(command, folder, None, entries)
+    }
+
+    fn start_sharing_folder(
+        mut command: Command,
+        folder: &Folder,
+        listen: Option<SocketAddr>,
+        entries: &[String],
+    ) -> (Self, SocketAddr) {
+        command.env("LB_CONSOLE", "127.0.0.1:0").env("TMPDIR", &folder.0);
+        command.envs(listen.map(|listen| ("LB_LISTEN", listen.to_string())));
+        // Each process has its own config file outside the shared folder.
+        static NUMBER: AtomicUsize = AtomicUsize::new(0);
+        let name = format!("upgrade-{}", NUMBER.fetch_add(1, Ordering::Relaxed));
+        let proxy = Proxy::start_command(command, &name, 1024, entries, SETTINGS);
+        let line = proxy.next_log_line();
+        let console = line.rsplit(' ').next().unwrap().parse().expect(&line);
+        (proxy, console)
+    }
+
+    fn start_command(
+        mut command: Command,
+        name: &str,
+        sockets: u32,
+        entries: &[String],
+        settings: &str,
+    ) -> Self {
+        let discovery = Discovery::new();
+        let config = config_text(discovery.address, sockets, &entries.join(","), settings);
+        let config_path = write_config_file(name, &config);
+        let mut child = command.env("LB_CONFIG", &config_path).spawn().unwrap();
+        let (sender, log) = channel();
+        let stderr = BufReader::new(child.stderr.take().unwrap());
+        thread::spawn(move || stderr.lines().map_while(Result::ok).try_for_each(|line| sender.send(line)));
+        let next_line =
+            || -> String { log.recv_timeout(TEST_TIMEOUT).expect("a line that names the address") };
+        let first = std::iter::repeat_with(next_line).find(|line| line.contains(" listening on ")).unwrap();
+        let address = first.rsplit(' ').next().unwrap().parse().expect(&first);
+        Proxy { child, address, discovery, log, config, config_path }
+    }
+
+    pub fn client(&self) -> Peer {
+        Peer::connect(self.address)
+    }
+
+    /// Sends a request with this key, and with an id made from it.
+    pub fn open(&self, key: &str) -> Peer {
+        let mut peer = self.client();
+        peer.send(&format!("OPEN 0a{key} {key} c=feed,d=4800\r\n"));
+        peer
+    }
+
+    /// Sends a request and answers it at `backend` with `UP`. Returns the client and the backend connection.
+    pub fn connect(&self, key: &str, backend: &Backend) -> (Peer, Peer) {
+        let mut client = self.open(key);
+        let (mut at_backend, _) = backend.accept_open();
+        at_backend.send("UP r1\r\n");
+        assert_eq!(client.line(), "UP r1\r\n");
+        (client, at_backend)
+    }
+
+    /// Sends a request and answers it with `UP` at the backend that it reaches.
+    pub fn connect_any(&self, key: &str, backends: &[Backend]) -> (Peer, Peer) {
+        let mut client = self.open(key);
+        let attempt = || backends.iter().find_map(Backend::try_accept_open);
+        let mut at_backend = poll_until(attempt).expect("an attempt").0;
+        at_backend.send("UP r1\r\n");
+        assert_eq!(client.line(), "UP r1\r\n");
+        (client, at_backend)
+    }
+
+    pub fn signal(&self, name: &str) {
+        let status = Command::new("kill").args([name, &self.child.id().to_string()]).status().unwrap();
+        assert!(status.success());
+    }
+
+    /// Suspends the process. Everything that arrives meanwhile is ready at the same time when it resumes.
+    pub fn suspend(&self) {
+        self.signal("-STOP");
+        let stat = format!("/proc/{}/stat", self.child.id());
+        let stopped = || std::fs::read_to_string(&stat).unwrap().contains(") T ").then_some(());
+        poll_until(stopped).expect("a suspended process");
+    }
+
+    /// Whether the proxy is connecting to the backend of `entry`: the kernel lists a socket in SYN_SENT.
+    pub fn is_connecting_to(&self, entry: String) -> bool {
+        let port = entry.split("127.0.0.1:").nth(1).and_then(|rest| rest.split('"').next()).unwrap();
+        let remote = format!("0100007F:{:04X} 02", port.parse::<u16>().unwrap());
+        std::fs::read_to_string("/proc/net/tcp").unwrap().contains(&remote)
+    }
+
+    pub fn resume(&self) {
+        self.signal("-CONT");
+    }
+
+    /// Waits until a proxy in a planned stop refuses new requests.
+    pub fn wait_until_stopping(&self) {
+        let refused = || {
+            let mut peer = self.open("probe");
+            peer.line_within(Duration::from_millis(20)).filter(|line| line.starts_with("BUSY"))
+        };
+        poll_until(refused).expect("a refusal");
+    }
+
+    /// The peak resident memory of the process.
+    pub fn peak_memory_kb(&self) -> u64 {
+        let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
+        let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap();
+        peak.trim().trim_end_matches(" kB").parse().unwrap()
+    }
+
+    /// Replaces the config file by `text` and sends SIGHUP.
+    pub fn reload(&self, text: &str) {
+        self.replace_config(text);
+        self.signal("-HUP");
+    }
+
+    /// Replaces the config file by one with another discovery address, without a signal.
+    pub fn write_config(&self, discovery: &Discovery) {
+        self.replace_config(
+            &self.config.replace(&self.discovery.address.to_string(), &discovery.address.to_string()),
+        );
+    }
+
+    fn replace_config(&self, text: &str) {
+        let new = self.config_path.with_extension("new");
+        std::fs::write(&new, text).unwrap();
+        std::fs::rename(&new, &self.config_path).unwrap();
+    }
+
+    /// Reloads with another discovery service. Returns the previous one.
+    pub fn reload_with_discovery(&mut self, discovery: Discovery) -> Discovery {
+        let (old, new) = (self.discovery.address.to_string(), discovery.address.to_string());
+        self.config = self.config.replace(&old, &new);
+        self.reload(&self.config);
+        std::mem::replace(&mut self.discovery, discovery)
+    }
+
+    /// Waits for the next log line. Skips the event counts, which the proxy logs for each second with events,
+    /// so that a test result does not depend on when a second ends.
+    pub fn next_log_line(&self) -> String {
+        loop {
+            let line = self.log.recv_timeout(TEST_TIMEOUT).expect("a line in the log");
+            if !line.contains("ledger") {
+                return line;
+            }
+        }
+    }
+
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
+        // The log ends when the process exits.
+        loop {
+            match self.log.recv_timeout(TEST_TIMEOUT) {
+                Ok(_) => {}
+                Err(RecvTimeoutError::Disconnected) => return self.child.wait().unwrap(),
+                Err(RecvTimeoutError::Timeout) => panic!("the program does not exit"),
+            }
+        }
+    }
+}
+
+impl Drop for Proxy {
+    fn drop(&mut self) {
+        // The process may have exited already.
+        let _ = self.child.kill();
+        let _ = self.child.wait();
+        let _ = std::fs::remove_dir_all(self.config_path.parent().unwrap());
+    }
+}
--- a/crates/pierloom/tests/proxy.rs
+++ b/crates/pierloom/tests/proxy.rs
@@ -3,10 +3,13 @@
 #![allow(clippy::disallowed_types, clippy::disallowed_methods)] // peers of the real program, on real sockets
 
 #[allow(dead_code)] // each test program uses its part
-mod world;
+mod harness;
 
+use harness::{
+    Backend, Discovery, Peer, Proxy, SETTINGS, TEST_TIMEOUT, config_text, entry, http_response,
+    program_command, write_config_file,
+};
 use std::time::{Duration, Instant};
-use world::{LONG, MachineList, Node, Peer, Proxy, SETTINGS, config, config_file, entry, http, program};
 
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -17,54 +20,54 @@
 
 #[test]
 fn a_job_is_served_and_its_lines_pass_unchanged() {
-    let node = Node::new("n");
-    let proxy = Proxy::start("served", &[&node]);
+    let backend = Backend::new("n");
+    let proxy = Proxy::start("served", &[&backend]);
     let mut client = proxy.client();
     client.send("PING\r\n");
     assert_eq!(client.line(), "PONG\r\n");
     client.send("OPEN 9b1f 7f3a zz=1,c=feed,d=2000,g=5c0f,again=1,new=x\r\n");
-    let (mut at_node, line) = node.opened();
+    let (mut at_backend, line) = backend.accept_open();
     // All but `d` is unchanged: it tells how long the proxy itself waits.
     let (before, rest) = line.split_once("d=").unwrap();
     let (wait, after) = rest.split_once(',').unwrap();
     assert_eq!((before, after), ("OPEN 9b1f 7f3a zz=1,c=feed,", "g=5c0f,again=1,new=x\r\n"));
     assert!((1..2000).contains(&wait.parse::<u32>().unwrap()), "{wait}");
-    at_node.send("UP r1\r\nLOAD 20");
+    at_backend.send("UP r1\r\nLOAD 20");
     assert_eq!(client.line(), "UP r1\r\n");
     // Half a line is passed on at once too, and what is no text.
     assert_eq!(client.read(7), b"LOAD 20");
     let long = "x".repeat(200_000);
-    at_node.send(&format!("00.5\r\n{long}\u{1}\r\n"));
+    at_backend.send(&format!("00.5\r\n{long}\u{1}\r\n"));
     assert_eq!(client.line(), "00.5\r\n");
     assert_eq!(client.line(), format!("{long}\u{1}\r\n"));
     client.send(&format!("{long}\r\nm 2\r\n"));
-    assert_eq!(at_node.line(), format!("{long}\r\n"));
-    assert_eq!(at_node.line(), "m 2\r\n");
-    at_node.send("BYE\r\n");
-    drop(at_node);
-    assert_eq!(client.end(), ("BYE\r\n".into(), false));
+    assert_eq!(at_backend.line(), format!("{long}\r\n"));
+    assert_eq!(at_backend.line(), "m 2\r\n");
+    at_backend.send("BYE\r\n");
+    drop(at_backend);
+    assert_eq!(client.read_to_end(), ("BYE\r\n".into(), false));
 }
 
 #[test]
 fn ends_and_resets_of_either_side_reach_the_other() {
-    let node = Node::new("n");
-    let proxy = Proxy::start("ends", &[&node]);
-    let (client, mut at_node) = proxy.connect("k1", &node);
-    client.end_sending();
-    assert_eq!(at_node.end(), (String::new(), false));
-    let (client, mut at_node) = proxy.connect("k2", &node);
+    let backend = Backend::new("n");
+    let proxy = Proxy::start("ends", &[&backend]);
+    let (client, mut at_backend) = proxy.connect("k1", &backend);
+    client.shutdown_write();
+    assert_eq!(at_backend.read_to_end(), (String::new(), false));
+    let (client, mut at_backend) = proxy.connect("k2", &backend);
     client.reset();
-    assert!(at_node.end().1, "a reset");
+    assert!(at_backend.read_to_end().1, "a reset");
     // Last, as the module spares a node that broke a connection.
-    let (mut client, at_node) = proxy.connect("k3", &node);
-    at_node.reset();
-    assert!(client.end().1, "a reset");
+    let (mut client, at_backend) = proxy.connect("k3", &backend);
+    at_backend.reset();
+    assert!(client.read_to_end().1, "a reset");
 }
 
 #[test]
 fn first_lines_that_are_no_job_get_one_answer_and_reach_no_node() {
-    let node = Node::new("n");
-    let proxy = Proxy::start("malformed", &[&node]);
+    let backend = Backend::new("n");
+    let proxy = Proxy::start("malformed", &[&backend]);
     let overlong = format!("OPEN 0a k c=feed,d=4800,x={}\r\n", "y".repeat(5000));
     let hundreds = "OPEN 0a k c=feed,d=4800\r\n".repeat(300);
     for line in [
@@ -92,48 +95,48 @@
     ] {
         let mut client = proxy.client();
         client.send(line);
-        client.end_sending();
-        assert_eq!(client.end().0, "ERR\r\n", "{line:?}");
+        client.shutdown_write();
+        assert_eq!(client.read_to_end().0, "ERR\r\n", "{line:?}");
     }
     let mut half = proxy.client();
     half.send("OPEN 0a k c=fe");
-    half.end_sending();
-    assert_eq!(half.end(), (String::new(), false));
+    half.shutdown_write();
+    assert_eq!(half.read_to_end(), (String::new(), false));
     proxy.client().reset();
-    assert!(node.untouched());
+    assert!(backend.has_no_new_connection());
     // One that speaks while it should wait for its answer is none to serve either.
     let mut hasty = proxy.open("k");
-    let (mut at_node, _) = node.opened();
+    let (mut at_backend, _) = backend.accept_open();
     hasty.send("m\r\n");
     assert_eq!(hasty.line(), "ERR\r\n");
-    assert_eq!(at_node.end(), (String::new(), false));
-    proxy.connect("k", &node);
+    assert_eq!(at_backend.read_to_end(), (String::new(), false));
+    proxy.connect("k", &backend);
 }
 
 // Guards a job against another client that opens one under the same id: neither is served in its place, and
 // the backend, which would turn it away, does not see it.
 #[test]
 fn an_id_that_is_open_already_gets_an_error_and_harms_nobody() {
-    let node = Node::new("n");
-    let proxy = Proxy::start("same", &[&node]);
-    let (mut client, mut at_node) = proxy.connect("k", &node);
+    let backend = Backend::new("n");
+    let proxy = Proxy::start("same", &[&backend]);
+    let (mut client, mut at_backend) = proxy.connect("k", &backend);
     let mut other = proxy.open("k");
     assert_eq!(other.line(), "ERR\r\n");
-    assert_eq!(other.end(), (String::new(), false));
+    assert_eq!(other.read_to_end(), (String::new(), false));
     client.send("m\r\n");
-    assert_eq!(at_node.line(), "m\r\n");
-    assert!(node.untouched());
-    at_node.send("BYE\r\n");
-    drop(at_node);
-    assert_eq!(client.end().0, "BYE\r\n");
+    assert_eq!(at_backend.line(), "m\r\n");
+    assert!(backend.has_no_new_connection());
+    at_backend.send("BYE\r\n");
+    drop(at_backend);
+    assert_eq!(client.read_to_end().0, "BYE\r\n");
 }
 
 // Guards against clients that keep their connection and never open a job: each is owed a word within three
 // seconds, and all of them together must leave room for those that do.
 #[test]
 fn silent_submitters_are_sent_away_soon_and_starve_nobody() {
-    let node = Node::new("n");
-    let proxy = Proxy::start_limited("silence", 128, 128, &[node.entry("ready")]);
+    let backend = Backend::new("n");
+    let proxy = Proxy::start_limited("silence", 128, 128, &[backend.entry("ready")]);
     let start = Instant::now();
     let crowd: Vec<Peer> = (0..300)
         .map(|i| {
@@ -146,22 +149,22 @@
             peer
         })
         .collect();
-    let (mut client, mut at_node) = proxy.connect("k", &node);
+    let (mut client, mut at_backend) = proxy.connect("k", &backend);
     for mut peer in crowd {
-        let said = peer.end().0;
+        let said = peer.read_to_end().0;
         let told = said.strip_prefix("PONG\r\n").unwrap_or(&said);
         assert!(["ERR\r\n", "BUSY 1000\r\n"].contains(&told), "{said:?}");
     }
     assert!(start.elapsed() < 3 * SECOND, "{:?}", start.elapsed());
     client.send("m\r\n");
-    assert_eq!(at_node.line(), "m\r\n");
+    assert_eq!(at_backend.line(), "m\r\n");
 }
 
 // Guards against a client that sends without end, at full speed: its words are not kept, and it is told.
 #[test]
 fn a_line_without_end_is_answered_and_costs_no_memory() {
-    let node = Node::new("n");
-    let proxy = Proxy::start("endless", &[&node]);
+    let backend = Backend::new("n");
+    let proxy = Proxy::start("endless", &[&backend]);
     let mut client = proxy.client();
     let mut stream = client.stream().try_clone().unwrap();
     let writer = std::thread::spawn(move || {
@@ -171,14 +174,14 @@
     });
     assert_eq!(client.line(), "ERR\r\n");
     writer.join().unwrap();
-    assert!(proxy.most_memory_kb() < 32 << 10);
-    proxy.connect("k", &node);
+    assert!(proxy.peak_memory_kb() < 32 << 10);
+    proxy.connect("k", &backend);
 }
 
 #[test]
 fn what_a_claim_comes_to_decides_what_follows() {
-    let nodes = [Node::new("n0"), Node::new("n1")];
-    let mut entries: Vec<String> = nodes.iter().map(|node| node.entry("ready")).collect();
+    let backends = [Backend::new("n0"), Backend::new("n1")];
+    let mut entries: Vec<String> = backends.iter().map(|backend| backend.entry("ready")).collect();
     entries.push(entry("n2", closed(), "ready"));
     let answers = ["BUSY\r\n", "ERR\r\n", "MOVE\r\n", "what\r\n", ""];
     for (i, answer) in answers.iter().enumerate() {
@@ -188,13 +191,13 @@
         // Each claim is closed before the next; the last thing the client hears is one refusal.
         let (mut claims, mut answered) = (0, None);
         while answered.is_none() && claims < 4 {
-            let taken = nodes.iter().find_map(|node| node.try_opened());
+            let taken = backends.iter().find_map(|backend| backend.try_accept_open());
             match taken {
-                Some((mut at_node, line)) => {
+                Some((mut at_backend, line)) => {
                     assert!(line.starts_with(&format!("OPEN 0ak{i} k{i} ")));
-                    at_node.send(answer);
-                    at_node.end_sending();
-                    at_node.end();
+                    at_backend.send(answer);
+                    at_backend.shutdown_write();
+                    at_backend.read_to_end();
                     claims += 1;
                 }
                 None => answered = client.line_within(Duration::from_millis(5)),
@@ -202,23 +205,23 @@
         }
         let answered = answered.unwrap_or_else(|| client.line());
         assert!(claims > 0 && answered.starts_with("BUSY "), "{answer:?}: {claims} claims, {answered:?}");
-        assert_eq!(client.end(), (String::new(), false));
+        assert_eq!(client.read_to_end(), (String::new(), false));
     }
 }
 
 #[test]
 fn a_silent_node_is_given_up_in_time_for_an_answer() {
-    let nodes = [Node::new("n0"), Node::new("n1")];
-    let proxy = Proxy::start("late", &[&nodes[0], &nodes[1]]);
+    let backends = [Backend::new("n0"), Backend::new("n1")];
+    let proxy = Proxy::start("late", &[&backends[0], &backends[1]]);
     let mut client = proxy.client();
     let sent = Instant::now();
     client.send("OPEN 0a k c=feed,d=1500\r\n");
     let mut open: Vec<(Peer, String)> = Vec::new();
     let answer = loop {
-        if let Some(claim) = nodes.iter().find_map(|node| node.try_opened()) {
+        if let Some(claim) = backends.iter().find_map(|backend| backend.try_accept_open()) {
             // The claim before is closed by now.
             if let Some((before, _)) = open.last_mut() {
-                assert_eq!(before.end(), (String::new(), false));
+                assert_eq!(before.read_to_end(), (String::new(), false));
             }
             open.push(claim);
         }
@@ -229,69 +232,69 @@
     assert!(sent.elapsed() < Duration::from_millis(1500), "{:?}", sent.elapsed());
     assert!(answer.starts_with("BUSY ") || answer == "ERR\r\n", "{answer:?}");
     assert!(!open.is_empty());
-    assert_eq!(client.end(), (String::new(), false));
+    assert_eq!(client.read_to_end(), (String::new(), false));
 }
 
 #[test]
 fn a_submitter_that_leaves_takes_its_claim_along() {
-    let node = Node::new("n");
-    let proxy = Proxy::start("leaves", &[&node]);
+    let backend = Backend::new("n");
+    let proxy = Proxy::start("leaves", &[&backend]);
     let mut client = proxy.client();
     // The claim by itself would last a third of this.
     client.send("OPEN 0a k c=feed,d=40000\r\n");
-    let (mut at_node, _) = node.opened();
+    let (mut at_backend, _) = backend.accept_open();
     let left = Instant::now();
     drop(client);
-    assert_eq!(at_node.end(), (String::new(), false));
+    assert_eq!(at_backend.read_to_end(), (String::new(), false));
     assert!(left.elapsed() < 10 * SECOND, "{:?}", left.elapsed());
 }
 
 #[test]
 fn a_connection_that_stood_before_goes_to_its_node_and_is_moved_like_others() {
-    let nodes = [Node::new("n0"), Node::new("n1")];
-    let proxy = Proxy::start("stood", &[&nodes[0], &nodes[1]]);
-    let mut standing = Vec::new();
+    let backends = [Backend::new("n0"), Backend::new("n1")];
+    let proxy = Proxy::start("stood", &[&backends[0], &backends[1]]);
+    let mut connections = Vec::new();
     for i in 0..4 {
         let mut client = proxy.client();
         client.send(&format!("OPEN 0a{i} k{i} c=feed,d=4800,at=n1\r\n"));
-        let (mut at_node, line) = nodes[1].opened();
+        let (mut at_backend, line) = backends[1].accept_open();
         assert!(line.ends_with(",at=n1\r\n"), "{line}");
-        at_node.send("UP r\r\n");
+        at_backend.send("UP r\r\n");
         assert_eq!(client.line(), "UP r\r\n");
-        standing.push((client, at_node));
+        connections.push((client, at_backend));
     }
-    proxy.list.tell(&nodes[1].entry("draining"));
-    for (mut client, mut at_node) in standing {
+    proxy.discovery.publish(&backends[1].entry("draining"));
+    for (mut client, mut at_backend) in connections {
         assert_eq!(client.line(), "MOVE\r\n");
-        assert_eq!(client.end(), (String::new(), false));
-        at_node.end();
+        assert_eq!(client.read_to_end(), (String::new(), false));
+        at_backend.read_to_end();
     }
-    assert!(nodes[0].untouched());
+    assert!(backends[0].has_no_new_connection());
 }
 
 #[test]
 fn a_move_waits_for_the_end_of_a_line() {
-    let node = Node::new("n");
-    let proxy = Proxy::start("between", &[&node]);
-    let (mut client, mut at_node) = proxy.connect("k", &node);
-    let (mut other, _at_node) = proxy.connect("k2", &node);
-    at_node.send("half ");
+    let backend = Backend::new("n");
+    let proxy = Proxy::start("between", &[&backend]);
+    let (mut client, mut at_backend) = proxy.connect("k", &backend);
+    let (mut other, _at_backend) = proxy.connect("k2", &backend);
+    at_backend.send("half ");
     assert_eq!(client.read(5), b"half ");
-    proxy.list.tell(&node.entry("draining"));
+    proxy.discovery.publish(&backend.entry("draining"));
     // The other one is moved in the same second; by then this one's move is wanted too, or soon will be.
     assert_eq!(other.line(), "MOVE\r\n");
-    at_node.send("a line\r\n");
+    at_backend.send("a line\r\n");
     assert_eq!(client.line(), "a line\r\n");
     assert_eq!(client.line(), "MOVE\r\n");
 }
 
 #[test]
 fn a_node_that_answers_nothing_loses_its_submitters_by_a_move() {
-    let node = Node::new("n");
+    let backend = Backend::new("n");
     // Without a message aim no note tells of delays; silence is told all the same.
     let settings = SETTINGS.replace("[0.06]", "[null]");
-    let proxy = Proxy::start_with("silent", 1024, &[node.entry("ready")], &settings);
-    let (mut client, _at_node) = proxy.connect("k", &node);
+    let proxy = Proxy::start_with("silent", 1024, &[backend.entry("ready")], &settings);
+    let (mut client, _at_backend) = proxy.connect("k", &backend);
     let sent = Instant::now();
     client.send("M\r\n");
     assert_eq!(client.line(), "MOVE\r\n");
@@ -300,24 +303,24 @@
 
 #[test]
 fn the_watch_goes_on_over_one_connection_and_failures_do_not_hammer() {
-    let node = Node::new("n");
-    let proxy = Proxy::start("watch", &[&node]);
-    let first = proxy.list.calls.recv_timeout(LONG).unwrap();
+    let backend = Backend::new("n");
+    let proxy = Proxy::start("watch", &[&backend]);
+    let first = proxy.discovery.calls.recv_timeout(TEST_TIMEOUT).unwrap();
     assert_eq!((first.connection, first.from), (0, 1));
     let told = Instant::now();
-    proxy.list.tell(&node.entry("ready"));
-    let second = proxy.list.calls.recv_timeout(LONG).unwrap();
+    proxy.discovery.publish(&backend.entry("ready"));
+    let second = proxy.discovery.calls.recv_timeout(TEST_TIMEOUT).unwrap();
     assert_eq!((second.connection, second.from), (0, 2));
     // 200 ms is the rule; a slow machine of this test may take a part of them.
     assert!(second.at - told < Duration::from_millis(200));
     let failed = Instant::now();
-    proxy.list.fail(6);
-    let calls: Vec<_> = (0..6).map(|_| proxy.list.calls.recv_timeout(LONG).unwrap()).collect();
+    proxy.discovery.fail_calls(6);
+    let calls: Vec<_> = (0..6).map(|_| proxy.discovery.calls.recv_timeout(TEST_TIMEOUT).unwrap()).collect();
     assert!(calls.iter().all(|call| call.from == 2));
     assert!(calls[5].at - failed > Duration::from_millis(50), "the gaps grow with each failure");
     // The watch is up again: what is told then arrives.
-    let (mut client, _at_node) = proxy.connect("k", &node);
-    proxy.list.tell(&node.entry("draining"));
+    let (mut client, _at_backend) = proxy.connect("k", &backend);
+    proxy.discovery.publish(&backend.entry("draining"));
     assert_eq!(client.line(), "MOVE\r\n");
 }
 
@@ -325,19 +328,19 @@
 // six seconds after discovery had it, whether it came or not.
 #[test]
 fn a_watch_that_falls_silent_is_opened_anew_before_what_it_missed_binds() {
-    let nodes = [Node::new("n0"), Node::new("n1")];
+    let backends = [Backend::new("n0"), Backend::new("n1")];
     let proxies: Vec<Proxy> =
-        (0..3).map(|i| Proxy::start(&format!("mute{i}"), &[&nodes[0], &nodes[1]])).collect();
-    let standing: Vec<_> = proxies.iter().map(|proxy| proxy.connect_any("k", &nodes)).collect();
+        (0..3).map(|i| Proxy::start(&format!("mute{i}"), &[&backends[0], &backends[1]])).collect();
+    let connections: Vec<_> = proxies.iter().map(|proxy| proxy.connect_any("k", &backends)).collect();
     for proxy in &proxies {
-        assert_eq!(proxy.list.calls.recv_timeout(LONG).unwrap().from, 1);
-        proxy.list.fall_silent();
-        nodes.iter().for_each(|node| proxy.list.tell(&node.entry("draining")));
+        assert_eq!(proxy.discovery.calls.recv_timeout(TEST_TIMEOUT).unwrap().from, 1);
+        proxy.discovery.stop_answering();
+        backends.iter().for_each(|backend| proxy.discovery.publish(&backend.entry("draining")));
     }
     let told = Instant::now();
-    for ((mut client, _at_node), proxy) in standing.into_iter().zip(&proxies) {
+    for ((mut client, _at_backend), proxy) in connections.into_iter().zip(&proxies) {
         // The next call misses nothing that was told in between.
-        assert_eq!(proxy.list.calls.recv_timeout(LONG).unwrap().from, 1);
+        assert_eq!(proxy.discovery.calls.recv_timeout(TEST_TIMEOUT).unwrap().from, 1);
         assert_eq!(client.line(), "MOVE\r\n");
     }
     assert!(told.elapsed() < 6 * SECOND, "{:?}", told.elapsed());
@@ -346,11 +349,11 @@
 // Guards against a fleet emptied by a list that is wrong: all would be given up at once.
 #[test]
 fn a_spoilt_machine_list_leaves_the_last_good_one_in_force() {
-    let node = Node::new("n");
-    let proxy = Proxy::start("spoilt", &[&node]);
-    let (mut client, _at_node) = proxy.connect("k", &node);
-    proxy.list.calls.recv_timeout(LONG).unwrap();
-    let gone = format!(r#"{{"index":9,"snapshot":true,"endpoints":[{}"#, node.entry("gone"));
+    let backend = Backend::new("n");
+    let proxy = Proxy::start("spoilt", &[&backend]);
+    let (mut client, _at_backend) = proxy.connect("k", &backend);
+    proxy.discovery.calls.recv_timeout(TEST_TIMEOUT).unwrap();
+    let gone = format!(r#"{{"index":9,"snapshot":true,"endpoints":[{}"#, backend.entry("gone"));
     let huge = format!(r#"{{"index":9,"snapshot":true,"endpoints":[],"more":"{}"}}"#, "x".repeat(5 << 20));
     for (body, missing) in [
         (r#"{"index":9,"snapshot":true,"endpoints":[]}"#, 0),
@@ -359,34 +362,34 @@
         (&format!("{gone}]}}"), 7),
         (&huge, 0),
     ] {
-        proxy.list.spoil(http(body, body.len() + missing));
+        proxy.discovery.send_raw_answer(http_response(body, body.len() + missing));
         // The next call shows that the answer was dealt with; it watches from the last good version.
-        assert_eq!(proxy.list.calls.recv_timeout(LONG).unwrap().from, 1);
-        proxy.connect("k2", &node);
+        assert_eq!(proxy.discovery.calls.recv_timeout(TEST_TIMEOUT).unwrap().from, 1);
+        proxy.connect("k2", &backend);
     }
-    proxy.list.tell(&node.entry("draining"));
+    proxy.discovery.publish(&backend.entry("draining"));
     assert_eq!(client.line(), "MOVE\r\n");
 }
 
 #[test]
 fn a_planned_stop_answers_newcomers_and_moves_everyone_in_time() {
-    let node = Node::new("n");
-    let mut proxy = Proxy::start("stop", &[&node]);
-    let mut standing: Vec<_> = (0..12).map(|i| proxy.connect(&format!("k{i}"), &node)).collect();
+    let backend = Backend::new("n");
+    let mut proxy = Proxy::start("stop", &[&backend]);
+    let mut connections: Vec<_> = (0..12).map(|i| proxy.connect(&format!("k{i}"), &backend)).collect();
     let told = Instant::now();
     proxy.signal("-TERM");
     let mut unanswered = proxy.open("late");
-    let _silent_claim = node.opened();
-    standing.push(proxy.connect("new", &node));
+    let _silent_claim = backend.accept_open();
+    connections.push(proxy.connect("new", &backend));
     let mut times = Vec::new();
-    for (client, _) in &mut standing {
+    for (client, _) in &mut connections {
         assert_eq!(client.line(), "MOVE\r\n");
-        assert_eq!(client.end(), (String::new(), false));
+        assert_eq!(client.read_to_end(), (String::new(), false));
         times.push(told.elapsed());
     }
     let answer = unanswered.line();
     assert!(answer.starts_with("BUSY") || answer == "ERR\r\n", "{answer:?}");
-    assert!(proxy.exit().success());
+    assert!(proxy.wait_for_exit().success());
     assert!(told.elapsed() < Duration::from_millis(3700), "{:?}", told.elapsed());
     assert!(*times.last().unwrap() - times[0] > SECOND, "in a spread: {times:?}");
 }
@@ -394,93 +397,94 @@
 // Guards against SIGHUP ending the process, and against a proxy that stays with a discovery which is gone.
 #[test]
 fn a_reload_turns_to_another_machine_list_and_keeps_everyone() {
-    let nodes = [Node::new("n0"), Node::new("n1")];
-    let mut proxy = Proxy::start("reload", &[&nodes[0]]);
-    let (mut client, mut at_node) = proxy.connect("k", &nodes[0]);
-    assert_eq!(proxy.list.calls.recv_timeout(LONG).unwrap().from, 1);
+    let backends = [Backend::new("n0"), Backend::new("n1")];
+    let mut proxy = Proxy::start("reload", &[&backends[0]]);
+    let (mut client, mut at_backend) = proxy.connect("k", &backends[0]);
+    assert_eq!(proxy.discovery.calls.recv_timeout(TEST_TIMEOUT).unwrap().from, 1);
     proxy.reload("{\"name\":");
-    assert!(proxy.logged().contains("the old config stays"));
+    assert!(proxy.next_log_line().contains("the old config stays"));
     for round in 0..2 {
-        let list = MachineList::new();
-        list.tell(&nodes[0].entry("ready"));
-        list.tell(&nodes[1].entry("ready"));
-        let old = proxy.turn_to(list);
-        assert!(proxy.logged().contains(&proxy.list.address.to_string()));
+        let discovery = Discovery::new();
+        discovery.publish(&backends[0].entry("ready"));
+        discovery.publish(&backends[1].entry("ready"));
+        let old = proxy.reload_with_discovery(discovery);
+        assert!(proxy.next_log_line().contains(&proxy.discovery.address.to_string()));
         // The whole list first, then a watch from there on the same connection.
-        let calls: Vec<_> = (0..2).map(|_| proxy.list.calls.recv_timeout(LONG).unwrap()).collect();
+        let calls: Vec<_> =
+            (0..2).map(|_| proxy.discovery.calls.recv_timeout(TEST_TIMEOUT).unwrap()).collect();
         assert_eq!(
             calls.iter().map(|call| (call.connection, call.from)).collect::<Vec<_>>(),
             [(0, 0), (0, 3)]
         );
         assert!(old.calls.try_recv().is_err(), "the old one hears no more");
         client.send(&format!("m {round}\r\n"));
-        assert_eq!(at_node.line(), format!("m {round}\r\n"));
+        assert_eq!(at_backend.line(), format!("m {round}\r\n"));
     }
-    proxy.list.tell(&nodes[0].entry("draining"));
+    proxy.discovery.publish(&backends[0].entry("draining"));
     assert_eq!(client.line(), "MOVE\r\n");
-    proxy.connect("k2", &nodes[1]);
+    proxy.connect("k2", &backends[1]);
     // The same config again changes nothing, and a planned stop works as before.
     proxy.signal("-HUP");
     proxy.signal("-TERM");
-    assert!(proxy.exit().success());
-    assert!(proxy.list.calls.try_iter().all(|call| call.from > 0));
+    assert!(proxy.wait_for_exit().success());
+    assert!(proxy.discovery.calls.try_iter().all(|call| call.from > 0));
 }
 
 // Guards against a proxy that stays with a discovery which is gone, as its config was not all there at SIGHUP.
 #[test]
 fn a_config_still_being_written_at_a_reload_is_taken_up_once_it_is_whole() {
-    let node = Node::new("n");
-    let proxy = Proxy::start("slow-write", &[&node]);
-    let next = MachineList::new();
-    next.tell(&node.entry("ready"));
+    let backend = Backend::new("n");
+    let proxy = Proxy::start("slow-write", &[&backend]);
+    let next = Discovery::new();
+    next.publish(&backend.entry("ready"));
     proxy.reload("{\"name\":");
-    assert!(proxy.logged().contains("the old config stays"));
+    assert!(proxy.next_log_line().contains("the old config stays"));
     proxy.write_config(&next);
-    assert!(proxy.logged().contains(&next.address.to_string()), "one complaint, then the new one");
-    assert_eq!(next.calls.recv_timeout(LONG).unwrap().from, 0);
+    assert!(proxy.next_log_line().contains(&next.address.to_string()), "one complaint, then the new one");
+    assert_eq!(next.calls.recv_timeout(TEST_TIMEOUT).unwrap().from, 0);
 }
 
 #[test]
 fn probes_ask_for_the_load_on_one_connection() {
-    let node = Node::new("n");
+    let backend = Backend::new("n");
     let settings = SETTINGS.replace("\"max-attempts\"", "\"may-probe\":true,\"max-attempts\"");
-    let proxy = Proxy::start_with("probes", 1024, &[node.entry("ready")], &settings);
+    let proxy = Proxy::start_with("probes", 1024, &[backend.entry("ready")], &settings);
     let _submitter = proxy.open("k");
-    let (mut probe, line) = node.opened();
+    let (mut probe, line) = backend.accept_open();
     assert_eq!(line, "STATS\r\n");
     probe.send("PONG x0=0.4,svc_ms=11.5\r\n");
-    let (_at_node, line) = node.opened();
+    let (_at_backend, line) = backend.accept_open();
     assert!(line.starts_with("OPEN "), "{line}");
     // A report is good for a second; the next job's probe comes over the connection that is there.
     std::thread::sleep(SECOND);
     let mut next = proxy.open("k2");
     assert_eq!(probe.line(), "STATS\r\n");
     probe.send("PONG x0=1.4,svc_ms=400\r\n");
-    assert!(next.line().starts_with("BUSY "), "a full node gets nothing");
+    assert!(next.line().starts_with("BUSY "), "a full backend gets nothing");
 }
 
 #[test]
 fn too_many_submitters_are_refused_and_the_rest_are_served() {
-    let node = Node::new("n");
+    let backend = Backend::new("n");
     // Room for two jobs beside the descriptors that are kept.
-    let proxy = Proxy::start_with("limits", 60, &[node.entry("ready")], SETTINGS);
-    let mut standing: Vec<_> = (0..2).map(|i| proxy.connect(&format!("k{i}"), &node)).collect();
+    let proxy = Proxy::start_with("limits", 60, &[backend.entry("ready")], SETTINGS);
+    let mut connections: Vec<_> = (0..2).map(|i| proxy.connect(&format!("k{i}"), &backend)).collect();
     let mut third = proxy.open("k3");
     assert_eq!(third.line(), "BUSY 1000\r\n");
-    assert_eq!(third.end(), (String::new(), false));
-    let (mut client, mut at_node) = standing.pop().unwrap();
-    at_node.send("BYE\r\n");
-    at_node.end_sending();
-    assert_eq!(client.end().0, "BYE\r\n");
-    drop((client, at_node));
+    assert_eq!(third.read_to_end(), (String::new(), false));
+    let (mut client, mut at_backend) = connections.pop().unwrap();
+    at_backend.send("BYE\r\n");
+    at_backend.shutdown_write();
+    assert_eq!(client.read_to_end().0, "BYE\r\n");
+    drop((client, at_backend));
     // The place is free once the task has ended, a moment after the end was passed on.
     let start = Instant::now();
-    while start.elapsed() < LONG {
+    while start.elapsed() < TEST_TIMEOUT {
         let mut next = proxy.open("k4");
         if let Some(line) = next.line_within(Duration::from_millis(50)) {
             assert_eq!(line, "BUSY 1000\r\n");
         } else {
-            return node.opened().0.send("UP r\r\n");
+            return backend.accept_open().0.send("UP r\r\n");
         }
     }
     panic!("the place is never free");
@@ -488,30 +492,30 @@
 
 #[test]
 fn a_proxy_out_of_descriptors_survives_and_serves_again() {
-    let node = Node::new("n");
+    let backend = Backend::new("n");
     // The config promises far more than the process is given.
-    let proxy = Proxy::start_limited("descriptors", 24, 1024, &[node.entry("ready")]);
+    let proxy = Proxy::start_limited("descriptors", 24, 1024, &[backend.entry("ready")]);
     let crowd: Vec<Peer> = (0..40).map(|_| proxy.client()).collect();
     // Some of them were let in just to be told.
     let told = crowd.into_iter().filter_map(|mut peer| peer.line_within(Duration::from_millis(100)));
     assert!(told.into_iter().any(|line| line == "BUSY 1000\r\n"));
-    proxy.connect("k", &node);
+    proxy.connect("k", &backend);
 }
 
 #[test]
 fn a_job_served_before_it_was_up_is_not_tried_again() {
-    let node = Node::new("n");
-    let proxy = Proxy::start("bye", &[&node]);
+    let backend = Backend::new("n");
+    let proxy = Proxy::start("bye", &[&backend]);
     let mut client = proxy.open("k");
-    let (mut at_node, _) = node.opened();
-    at_node.send("BYE\r\n");
-    assert_eq!(client.end(), ("BYE\r\n".into(), false));
-    assert!(node.untouched());
+    let (mut at_backend, _) = backend.accept_open();
+    at_backend.send("BYE\r\n");
+    assert_eq!(client.read_to_end(), ("BYE\r\n".into(), false));
+    assert!(backend.has_no_new_connection());
 }
 
 #[test]
 fn a_bad_config_is_one_plain_line_and_code_2() {
-    let good = config(closed(), 1024, "", SETTINGS);
+    let good = config_text(closed(), 1024, "", SETTINGS);
     let bad = [
         ("{", "config"),
         (&good.replace("00000000000000a7", "seven"), "seed"),
@@ -520,26 +524,26 @@
         (&good.replace("\"classes\"", "\"glasses\""), "classes"),
     ];
     for (i, (text, names)) in bad.iter().enumerate() {
-        let path = config_file(&format!("bad{i}"), text);
+        let path = write_config_file(&format!("bad{i}"), text);
         for arguments in [vec!["serve"], vec!["check", path.to_str().unwrap()]] {
-            let output = program(&arguments).env("LB_CONFIG", &path).output().unwrap();
+            let output = program_command(&arguments).env("LB_CONFIG", &path).output().unwrap();
             let said = String::from_utf8(output.stderr).unwrap();
             assert_eq!(output.status.code(), Some(2), "{said}");
             assert!(said.lines().count() == 1 && said.contains(names), "{said}");
         }
     }
-    let path = config_file("good", &good);
-    let output = program(&["check", path.to_str().unwrap()]).output().unwrap();
+    let path = write_config_file("good", &good);
+    let output = program_command(&["check", path.to_str().unwrap()]).output().unwrap();
     assert!(output.status.success() && output.stdout.starts_with(b"good"));
-    assert_eq!(program(&["serve"]).output().unwrap().status.code(), Some(2), "no config at all");
-    assert!(program(&["version"]).output().unwrap().stdout.starts_with(b"pierloom 0."));
+    assert_eq!(program_command(&["serve"]).output().unwrap().status.code(), Some(2), "no config at all");
+    assert!(program_command(&["version"]).output().unwrap().stdout.starts_with(b"pierloom 0."));
 }
 
 #[test]
 fn settings_of_our_own_that_cannot_be_used_name_file_line_and_key() {
-    let path = config_file("own-settings", "[log]\nformat = \"text\"\nlines_per_second = 0\n");
+    let path = write_config_file("own-settings", "[log]\nformat = \"text\"\nlines_per_second = 0\n");
     let named = path.to_str().unwrap();
-    let check = || program(&["check", "--settings", named]).output().unwrap();
+    let check = || program_command(&["check", "--settings", named]).output().unwrap();
     let cases = [
         ("[log]\nlines_per_second = 0\n", "line 2: log.lines_per_second: "),
         ("[log]\n\nformat = \"xml\"\n", "line 3: log.format: "),
@@ -561,12 +565,12 @@
 /// Guards against a connection that is never without something to pass on, and keeps the thread from all others.
 #[test]
 fn a_submitter_that_floods_delays_nobody() {
-    let node = Node::new("n");
-    let proxy = Proxy::start("flood", &[&node]);
-    let (floods, at_node) = proxy.connect("f", &node);
+    let backend = Backend::new("n");
+    let proxy = Proxy::start("flood", &[&backend]);
+    let (floods, at_backend) = proxy.connect("f", &backend);
     std::thread::spawn(move || {
-        let (mut at_node, mut part) = (at_node.stream().try_clone().unwrap(), vec![0; 1 << 18]);
-        while std::io::Read::read(&mut at_node, &mut part).is_ok_and(|read| read > 0) {}
+        let (mut at_backend, mut part) = (at_backend.stream().try_clone().unwrap(), vec![0; 1 << 18]);
+        while std::io::Read::read(&mut at_backend, &mut part).is_ok_and(|read| read > 0) {}
     });
     std::thread::spawn(move || {
         let block = b"a message\r\n".repeat(20_000);
--- a/crates/pierloom/tests/soak.rs
+++ b/crates/pierloom/tests/soak.rs
@@ -4,15 +4,15 @@
 #![allow(clippy::disallowed_types, clippy::disallowed_methods)] // peers of the real program, on real sockets
 
 #[allow(dead_code)] // each test program uses its part
-mod world;
+mod harness;
 
+use harness::{Proxy, SETTINGS, entry};
 use std::io::{BufRead, BufReader, ErrorKind, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::{Duration, Instant};
-use world::{Proxy, SETTINGS, entry};
 
 const PROXIES: usize = 3;
 const BACKENDS: usize = 4;
@@ -240,10 +240,10 @@
     wait_until(Duration::from_millis(600 + chance.below(400) as u64));
     let silent = chance.below(4) == 0;
     if silent {
-        proxies.iter().for_each(|proxy| proxy.list.fall_silent());
+        proxies.iter().for_each(|proxy| proxy.discovery.stop_answering());
     }
     let draining = chance.below(BACKENDS);
-    proxies.iter().for_each(|proxy| proxy.list.tell(&entry_of(draining, "draining")));
+    proxies.iter().for_each(|proxy| proxy.discovery.publish(&entry_of(draining, "draining")));
     let told = Instant::now();
     let trouble = (draining + 1) % BACKENDS;
     match chance.below(3) {
@@ -269,7 +269,7 @@
     let terminated = Instant::now();
     thread::sleep(STILL_COMING);
     run.closed[ended].store(true, Ordering::Relaxed);
-    let status = proxies[ended].exit();
+    let status = proxies[ended].wait_for_exit();
     if !status.success() || terminated.elapsed() > KILL {
         run.note(format!("proxy {ended} ended {:?} after SIGTERM: {status:?}", terminated.elapsed()));
     }
--- a/crates/pierloom/tests/syscalls.rs
+++ b/crates/pierloom/tests/syscalls.rs
@@ -4,11 +4,11 @@
 #![allow(clippy::disallowed_types, clippy::disallowed_methods)] // peers of the real program, on real sockets
 
 #[allow(dead_code)] // each test program uses its part
-mod world;
+mod harness;
 
+use harness::{Peer, Proxy, SETTINGS, entry};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::thread;
-use world::{Peer, Proxy, SETTINGS, entry};
 
 /// Requests that are made under each failure.
 const REQUESTS: usize = 30;
@@ -55,7 +55,7 @@
 }
 
 /// Expects that all are served, whichever uses of the calls fail: every second one, and two of five.
-fn all_served(name: &str, calls: &str, errors: &[&str]) {
+fn assert_all_served(name: &str, calls: &str, errors: &[&str]) {
     let mut odd = Vec::new();
     for error in errors {
         for (first, step) in [(9, 2), (10, 5)] {
@@ -67,20 +67,20 @@
 
 #[test]
 fn reads_and_writes_that_are_interrupted_lose_nobody() {
-    all_served("read", "recvfrom", &["EINTR"]);
-    all_served("write", "sendto,writev", &["EINTR"]);
+    assert_all_served("read", "recvfrom", &["EINTR"]);
+    assert_all_served("write", "sendto,writev", &["EINTR"]);
 }
 
 #[test]
 fn accepts_and_options_that_fail_for_a_moment_refuse_nobody() {
-    all_served("accept", "accept4", &["EINTR", "ECONNABORTED", "ENFILE", "ENOBUFS"]);
-    all_served("option", "setsockopt", &["ENOBUFS", "EINTR"]);
+    assert_all_served("accept", "accept4", &["EINTR", "ECONNABORTED", "ENFILE", "ENOBUFS"]);
+    assert_all_served("option", "setsockopt", &["ENOBUFS", "EINTR"]);
 }
 
 #[test]
 fn sockets_and_connects_that_fail_for_a_moment_refuse_nobody() {
-    all_served("socket", "socket", &["ENFILE", "ENOBUFS"]);
-    all_served("connect", "connect", &["EINTR", "EADDRNOTAVAIL", "ENETUNREACH", "ENOBUFS"]);
+    assert_all_served("socket", "socket", &["ENFILE", "ENOBUFS"]);
+    assert_all_served("connect", "connect", &["EINTR", "EADDRNOTAVAIL", "ENETUNREACH", "ENOBUFS"]);
 }
 
 // Guards against a signal that ends the process, or is lost, since the calls by which it wakes the process fail.
@@ -97,7 +97,7 @@
             thread::sleep(std::time::Duration::from_millis(20));
         }
         proxy.signal("-TERM");
-        let status = proxy.exit();
+        let status = proxy.wait_for_exit();
         assert!(status.success(), "{calls} {first}+{step}: {status:?}");
     }
 }
