--- a/crates/pierloom/tests/proxy.rs
+++ b/crates/pierloom/tests/proxy.rs
@@ -1,8 +1,8 @@
-//! The real program as a process, among clients, backends and a machine list.
+//! Tests of the real program as a process, with stand-ins for its clients, its backends and discovery.
 
 #![allow(clippy::disallowed_types, clippy::disallowed_methods)] // peers of the real program, on real sockets
 
-#[allow(dead_code)] // each test program uses its part
+#[allow(dead_code)] // each test program uses only a part of the harness
 mod harness;
 
 use harness::{
@@ -14,12 +14,12 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 /// An address where nothing listens any more.
-fn closed() -> std::net::SocketAddr {
+fn closed_address() -> std::net::SocketAddr {
     std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
 }
 
 #[test]
-fn a_job_is_served_and_its_lines_pass_unchanged() {
+fn a_request_is_served_and_its_lines_are_relayed_unchanged() {
     let backend = Backend::new("n");
     let proxy = Proxy::start("served", &[&backend]);
     let mut client = proxy.client();
@@ -27,14 +27,14 @@
     assert_eq!(client.line(), "PONG\r\n");
     client.send("OPEN 9b1f 7f3a zz=1,c=feed,d=2000,g=5c0f,again=1,new=x\r\n");
     let (mut at_backend, line) = backend.accept_open();
-    // All but `d` is unchanged: it tells how long the proxy itself waits.
+    // Only `d` differs: its value is how long the proxy itself waits.
     let (before, rest) = line.split_once("d=").unwrap();
-    let (wait, after) = rest.split_once(',').unwrap();
+    let (wait_ms, after) = rest.split_once(',').unwrap();
     assert_eq!((before, after), ("OPEN 9b1f 7f3a zz=1,c=feed,", "g=5c0f,again=1,new=x\r\n"));
-    assert!((1..2000).contains(&wait.parse::<u32>().unwrap()), "{wait}");
+    assert!((1..2000).contains(&wait_ms.parse::<u32>().unwrap()), "{wait_ms}");
     at_backend.send("UP r1\r\nLOAD 20");
     assert_eq!(client.line(), "UP r1\r\n");
-    // Half a line is passed on at once too, and what is no text.
+    // An incomplete line is relayed at once, and so are bytes that are not text.
     assert_eq!(client.read(7), b"LOAD 20");
     let long = "x".repeat(200_000);
     at_backend.send(&format!("00.5\r\n{long}\u{1}\r\n"));
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn ends_and_resets_of_either_side_reach_the_other() {
+fn ends_and_resets_of_either_side_are_relayed_to_the_other() {
     let backend = Backend::new("n");
     let proxy = Proxy::start("ends", &[&backend]);
     let (client, mut at_backend) = proxy.connect("k1", &backend);
@@ -58,18 +58,18 @@
     let (client, mut at_backend) = proxy.connect("k2", &backend);
     client.reset();
     assert!(at_backend.read_to_end().1, "a reset");
-    // Last, as the module spares a node that broke a connection.
+    // This case is last because the decision module avoids a backend that broke a connection.
     let (mut client, at_backend) = proxy.connect("k3", &backend);
     at_backend.reset();
     assert!(client.read_to_end().1, "a reset");
 }
 
 #[test]
-fn first_lines_that_are_no_job_get_one_answer_and_reach_no_node() {
+fn malformed_first_lines_get_one_err_and_reach_no_backend() {
     let backend = Backend::new("n");
     let proxy = Proxy::start("malformed", &[&backend]);
     let overlong = format!("OPEN 0a k c=feed,d=4800,x={}\r\n", "y".repeat(5000));
-    let hundreds = "OPEN 0a k c=feed,d=4800\r\n".repeat(300);
+    let many_requests = "OPEN 0a k c=feed,d=4800\r\n".repeat(300);
     for line in [
         "\r\n",
         "OPEN\r\n",
@@ -83,7 +83,7 @@
         "OPEN 0a k c=feed,d=4800\n",
         "OPEN \u{e9} k c=feed,d=4800\r\n",
         "GET / HTTP/1.1\r\n",
-        // Guard against requests that backends turn away: the module would take that for trouble there.
+        // Backends would reject these requests, and the decision module would count that as their failures.
         "OPEN 0a k c=feeds,d=4800\r\n",
         "OPEN 0a k c=feed,d=-5\r\n",
         "OPEN 0a k c=feed,d=\r\n",
@@ -91,32 +91,32 @@
         "OPEN  k c=feed,d=4800\r\n",
         "OPEN 0a k c=feed,d=4800\r\nm\r\n",
         &overlong,
-        &hundreds,
+        &many_requests,
     ] {
         let mut client = proxy.client();
         client.send(line);
         client.shutdown_write();
         assert_eq!(client.read_to_end().0, "ERR\r\n", "{line:?}");
     }
-    let mut half = proxy.client();
-    half.send("OPEN 0a k c=fe");
-    half.shutdown_write();
-    assert_eq!(half.read_to_end(), (String::new(), false));
+    let mut incomplete = proxy.client();
+    incomplete.send("OPEN 0a k c=fe");
+    incomplete.shutdown_write();
+    assert_eq!(incomplete.read_to_end(), (String::new(), false));
     proxy.client().reset();
     assert!(backend.has_no_new_connection());
-    // One that speaks while it should wait for its answer is none to serve either.
-    let mut hasty = proxy.open("k");
+    // A client that sends more before its answer gets an error too, and its attempt is closed.
+    let mut early_sender = proxy.open("k");
     let (mut at_backend, _) = backend.accept_open();
-    hasty.send("m\r\n");
-    assert_eq!(hasty.line(), "ERR\r\n");
+    early_sender.send("m\r\n");
+    assert_eq!(early_sender.line(), "ERR\r\n");
     assert_eq!(at_backend.read_to_end(), (String::new(), false));
     proxy.connect("k", &backend);
 }
 
-// Guards a job against another client that opens one under the same id: neither is served in its place, and
-// the backend, which would turn it away, does not see it.
+// Guards a request against another client that sends a request with the same id. The second request is not
+// served in place of the first, and does not reach the backend, which would reject it.
 #[test]
-fn an_id_that_is_open_already_gets_an_error_and_harms_nobody() {
+fn a_request_with_an_id_in_use_gets_err_and_the_first_one_continues() {
     let backend = Backend::new("n");
     let proxy = Proxy::start("same", &[&backend]);
     let (mut client, mut at_backend) = proxy.connect("k", &backend);
@@ -131,14 +131,14 @@
     assert_eq!(client.read_to_end().0, "BYE\r\n");
 }
 
-// Guards against clients that keep their connection and never open a job: each is owed a word within three
-// seconds, and all of them together must leave room for those that do.
+// Guards against clients that keep their connection open and never send a request. Each must get an answer
+// within three seconds, and all of them together must leave descriptors for clients that do send a request.
 #[test]
-fn silent_submitters_are_sent_away_soon_and_starve_nobody() {
+fn clients_without_a_request_are_refused_within_three_seconds_and_block_no_others() {
     let backend = Backend::new("n");
     let proxy = Proxy::start_limited("silence", 128, 128, &[backend.entry("ready")]);
     let start = Instant::now();
-    let crowd: Vec<Peer> = (0..300)
+    let idle_clients: Vec<Peer> = (0..300)
         .map(|i| {
             let mut peer = proxy.client();
             match i % 3 {
@@ -150,27 +150,28 @@
         })
         .collect();
     let (mut client, mut at_backend) = proxy.connect("k", &backend);
-    for mut peer in crowd {
-        let said = peer.read_to_end().0;
-        let told = said.strip_prefix("PONG\r\n").unwrap_or(&said);
-        assert!(["ERR\r\n", "BUSY 1000\r\n"].contains(&told), "{said:?}");
+    for mut peer in idle_clients {
+        let received = peer.read_to_end().0;
+        let answer = received.strip_prefix("PONG\r\n").unwrap_or(&received);
+        assert!(["ERR\r\n", "BUSY 1000\r\n"].contains(&answer), "{received:?}");
     }
     assert!(start.elapsed() < 3 * SECOND, "{:?}", start.elapsed());
     client.send("m\r\n");
     assert_eq!(at_backend.line(), "m\r\n");
 }
 
-// Guards against a client that sends without end, at full speed: its words are not kept, and it is told.
+// Guards against a client that sends a line without end, at full speed. The proxy must not keep what it
+// receives, and must answer with an error.
 #[test]
-fn a_line_without_end_is_answered_and_costs_no_memory() {
+fn an_endless_line_gets_err_and_uses_little_memory() {
     let backend = Backend::new("n");
     let proxy = Proxy::start("endless", &[&backend]);
     let mut client = proxy.client();
     let mut stream = client.stream().try_clone().unwrap();
     let writer = std::thread::spawn(move || {
-        let part = vec![b'x'; 1 << 20];
-        // Refused at some point, as nobody is to take in all of it.
-        (0..60).try_for_each(|_| std::io::Write::write_all(&mut stream, &part)).is_ok()
+        let block = vec![b'x'; 1 << 20];
+        // Writing may fail at some point, because the proxy does not have to read all of it.
+        (0..60).try_for_each(|_| std::io::Write::write_all(&mut stream, &block)).is_ok()
     });
     assert_eq!(client.line(), "ERR\r\n");
     writer.join().unwrap();
@@ -179,78 +180,81 @@
 }
 
 #[test]
-fn what_a_claim_comes_to_decides_what_follows() {
+fn a_request_whose_attempts_all_fail_gets_one_busy() {
     let backends = [Backend::new("n0"), Backend::new("n1")];
     let mut entries: Vec<String> = backends.iter().map(|backend| backend.entry("ready")).collect();
-    entries.push(entry("n2", closed(), "ready"));
+    entries.push(entry("n2", closed_address(), "ready"));
     let answers = ["BUSY\r\n", "ERR\r\n", "MOVE\r\n", "what\r\n", ""];
     for (i, answer) in answers.iter().enumerate() {
-        // A new proxy each time: one that has seen failures spares these nodes.
-        let proxy = Proxy::start_with(&format!("claims{i}"), 1024, &entries, SETTINGS);
+        // Each answer is tried with a new proxy: a proxy that has seen failures avoids these backends.
+        let proxy = Proxy::start_with(&format!("attempts{i}"), 1024, &entries, SETTINGS);
         let mut client = proxy.open(&format!("k{i}"));
-        // Each claim is closed before the next; the last thing the client hears is one refusal.
-        let (mut claims, mut answered) = (0, None);
-        while answered.is_none() && claims < 4 {
-            let taken = backends.iter().find_map(|backend| backend.try_accept_open());
-            match taken {
+        // Each attempt is closed before the next one. The client's last line is a single refusal.
+        let (mut attempts, mut final_answer) = (0, None);
+        while final_answer.is_none() && attempts < 4 {
+            let attempt = backends.iter().find_map(|backend| backend.try_accept_open());
+            match attempt {
                 Some((mut at_backend, line)) => {
                     assert!(line.starts_with(&format!("OPEN 0ak{i} k{i} ")));
                     at_backend.send(answer);
                     at_backend.shutdown_write();
                     at_backend.read_to_end();
-                    claims += 1;
+                    attempts += 1;
                 }
-                None => answered = client.line_within(Duration::from_millis(5)),
+                None => final_answer = client.line_within(Duration::from_millis(5)),
             }
         }
-        let answered = answered.unwrap_or_else(|| client.line());
-        assert!(claims > 0 && answered.starts_with("BUSY "), "{answer:?}: {claims} claims, {answered:?}");
+        let final_answer = final_answer.unwrap_or_else(|| client.line());
+        assert!(
+            attempts > 0 && final_answer.starts_with("BUSY "),
+            "{answer:?}: {attempts} attempts, {final_answer:?}"
+        );
         assert_eq!(client.read_to_end(), (String::new(), false));
     }
 }
 
 #[test]
-fn a_silent_node_is_given_up_in_time_for_an_answer() {
+fn a_request_at_silent_backends_is_answered_before_its_deadline() {
     let backends = [Backend::new("n0"), Backend::new("n1")];
     let proxy = Proxy::start("late", &[&backends[0], &backends[1]]);
     let mut client = proxy.client();
-    let sent = Instant::now();
+    let sent_at = Instant::now();
     client.send("OPEN 0a k c=feed,d=1500\r\n");
-    let mut open: Vec<(Peer, String)> = Vec::new();
+    let mut attempts: Vec<(Peer, String)> = Vec::new();
     let answer = loop {
-        if let Some(claim) = backends.iter().find_map(|backend| backend.try_accept_open()) {
-            // The claim before is closed by now.
-            if let Some((before, _)) = open.last_mut() {
-                assert_eq!(before.read_to_end(), (String::new(), false));
+        if let Some(attempt) = backends.iter().find_map(|backend| backend.try_accept_open()) {
+            // The previous attempt is closed by now.
+            if let Some((previous, _)) = attempts.last_mut() {
+                assert_eq!(previous.read_to_end(), (String::new(), false));
             }
-            open.push(claim);
+            attempts.push(attempt);
         }
         if let Some(answer) = client.line_within(Duration::from_millis(5)) {
             break answer;
         }
     };
-    assert!(sent.elapsed() < Duration::from_millis(1500), "{:?}", sent.elapsed());
+    assert!(sent_at.elapsed() < Duration::from_millis(1500), "{:?}", sent_at.elapsed());
     assert!(answer.starts_with("BUSY ") || answer == "ERR\r\n", "{answer:?}");
-    assert!(!open.is_empty());
+    assert!(!attempts.is_empty());
     assert_eq!(client.read_to_end(), (String::new(), false));
 }
 
 #[test]
-fn a_submitter_that_leaves_takes_its_claim_along() {
+fn the_attempt_of_a_client_that_leaves_is_closed() {
     let backend = Backend::new("n");
     let proxy = Proxy::start("leaves", &[&backend]);
     let mut client = proxy.client();
-    // The claim by itself would last a third of this.
+    // Without the client's end the attempt would last a third of this time.
     client.send("OPEN 0a k c=feed,d=40000\r\n");
     let (mut at_backend, _) = backend.accept_open();
-    let left = Instant::now();
+    let left_at = Instant::now();
     drop(client);
     assert_eq!(at_backend.read_to_end(), (String::new(), false));
-    assert!(left.elapsed() < 10 * SECOND, "{:?}", left.elapsed());
+    assert!(left_at.elapsed() < 10 * SECOND, "{:?}", left_at.elapsed());
 }
 
 #[test]
-fn a_connection_that_stood_before_goes_to_its_node_and_is_moved_like_others() {
+fn a_resumed_connection_goes_to_its_backend_and_is_moved_when_the_backend_drains() {
     let backends = [Backend::new("n0"), Backend::new("n1")];
     let proxy = Proxy::start("stood", &[&backends[0], &backends[1]]);
     let mut connections = Vec::new();
@@ -281,7 +285,8 @@
     at_backend.send("half ");
     assert_eq!(client.read(5), b"half ");
     proxy.discovery.publish(&backend.entry("draining"));
-    // The other one is moved in the same second; by then this one's move is wanted too, or soon will be.
+    // The other client is moved in the same second. By then the proxy wants to move this client too, or soon
+    // will.
     assert_eq!(other.line(), "MOVE\r\n");
     at_backend.send("a line\r\n");
     assert_eq!(client.line(), "a line\r\n");
@@ -289,45 +294,45 @@
 }
 
 #[test]
-fn a_node_that_answers_nothing_loses_its_submitters_by_a_move() {
+fn a_client_whose_backend_stops_answering_is_moved() {
     let backend = Backend::new("n");
-    // Without a message aim no note tells of delays; silence is told all the same.
+    // Without a message target no measurement reports delays; unanswered messages are reported all the same.
     let settings = SETTINGS.replace("[0.06]", "[null]");
     let proxy = Proxy::start_with("silent", 1024, &[backend.entry("ready")], &settings);
     let (mut client, _at_backend) = proxy.connect("k", &backend);
-    let sent = Instant::now();
+    let sent_at = Instant::now();
     client.send("M\r\n");
     assert_eq!(client.line(), "MOVE\r\n");
-    assert!(sent.elapsed() < 7 * SECOND, "{:?}", sent.elapsed());
+    assert!(sent_at.elapsed() < 7 * SECOND, "{:?}", sent_at.elapsed());
 }
 
 #[test]
-fn the_watch_goes_on_over_one_connection_and_failures_do_not_hammer() {
+fn the_watch_stays_on_one_connection_and_failed_calls_are_retried_after_growing_delays() {
     let backend = Backend::new("n");
     let proxy = Proxy::start("watch", &[&backend]);
     let first = proxy.discovery.calls.recv_timeout(TEST_TIMEOUT).unwrap();
     assert_eq!((first.connection, first.from), (0, 1));
-    let told = Instant::now();
+    let published_at = Instant::now();
     proxy.discovery.publish(&backend.entry("ready"));
     let second = proxy.discovery.calls.recv_timeout(TEST_TIMEOUT).unwrap();
     assert_eq!((second.connection, second.from), (0, 2));
-    // 200 ms is the rule; a slow machine of this test may take a part of them.
-    assert!(second.at - told < Duration::from_millis(200));
-    let failed = Instant::now();
+    // The rule allows 200 ms between two calls; a slow test machine may use up a part of them.
+    assert!(second.at - published_at < Duration::from_millis(200));
+    let failed_at = Instant::now();
     proxy.discovery.fail_calls(6);
     let calls: Vec<_> = (0..6).map(|_| proxy.discovery.calls.recv_timeout(TEST_TIMEOUT).unwrap()).collect();
     assert!(calls.iter().all(|call| call.from == 2));
-    assert!(calls[5].at - failed > Duration::from_millis(50), "the gaps grow with each failure");
-    // The watch is up again: what is told then arrives.
+    assert!(calls[5].at - failed_at > Duration::from_millis(50), "the delay grows with each failure");
+    // The watch is open again: the next change arrives.
     let (mut client, _at_backend) = proxy.connect("k", &backend);
     proxy.discovery.publish(&backend.entry("draining"));
     assert_eq!(client.line(), "MOVE\r\n");
 }
 
-// Guards against requests to a node that drains where the watch that would tell of it has fallen silent: a change binds
-// six seconds after discovery had it, whether it came or not.
+// Guards against requests to a draining backend when the watch that would report the drain has gone silent. A
+// change must be obeyed six seconds after discovery had it, whether the proxy received it or not.
 #[test]
-fn a_watch_that_falls_silent_is_opened_anew_before_what_it_missed_binds() {
+fn a_silent_watch_is_reopened_before_missed_changes_must_be_obeyed() {
     let backends = [Backend::new("n0"), Backend::new("n1")];
     let proxies: Vec<Proxy> =
         (0..3).map(|i| Proxy::start(&format!("mute{i}"), &[&backends[0], &backends[1]])).collect();
@@ -337,33 +342,35 @@
         proxy.discovery.stop_answering();
         backends.iter().for_each(|backend| proxy.discovery.publish(&backend.entry("draining")));
     }
-    let told = Instant::now();
+    let published_at = Instant::now();
     for ((mut client, _at_backend), proxy) in connections.into_iter().zip(&proxies) {
-        // The next call misses nothing that was told in between.
+        // The next call misses no change that was published in between.
         assert_eq!(proxy.discovery.calls.recv_timeout(TEST_TIMEOUT).unwrap().from, 1);
         assert_eq!(client.line(), "MOVE\r\n");
     }
-    assert!(told.elapsed() < 6 * SECOND, "{:?}", told.elapsed());
+    assert!(published_at.elapsed() < 6 * SECOND, "{:?}", published_at.elapsed());
 }
 
-// Guards against a fleet emptied by a list that is wrong: all would be given up at once.
+// Guards against an invalid endpoint list that empties the list of backends: the proxy would give up all of
+// them at once.
 #[test]
-fn a_spoilt_machine_list_leaves_the_last_good_one_in_force() {
+fn an_invalid_endpoint_list_leaves_the_last_valid_one_in_effect() {
     let backend = Backend::new("n");
     let proxy = Proxy::start("spoilt", &[&backend]);
     let (mut client, _at_backend) = proxy.connect("k", &backend);
     proxy.discovery.calls.recv_timeout(TEST_TIMEOUT).unwrap();
     let gone = format!(r#"{{"index":9,"snapshot":true,"endpoints":[{}"#, backend.entry("gone"));
-    let huge = format!(r#"{{"index":9,"snapshot":true,"endpoints":[],"more":"{}"}}"#, "x".repeat(5 << 20));
-    for (body, missing) in [
+    let oversized =
+        format!(r#"{{"index":9,"snapshot":true,"endpoints":[],"more":"{}"}}"#, "x".repeat(5 << 20));
+    for (body, missing_bytes) in [
         (r#"{"index":9,"snapshot":true,"endpoints":[]}"#, 0),
         (&format!("{gone}]}}").replace("gone", "vanished"), 0),
         (&gone, 0),
         (&format!("{gone}]}}"), 7),
-        (&huge, 0),
+        (&oversized, 0),
     ] {
-        proxy.discovery.send_raw_answer(http_response(body, body.len() + missing));
-        // The next call shows that the answer was dealt with; it watches from the last good version.
+        proxy.discovery.send_raw_answer(http_response(body, body.len() + missing_bytes));
+        // The next call shows that the answer was processed; it watches from the last valid index.
         assert_eq!(proxy.discovery.calls.recv_timeout(TEST_TIMEOUT).unwrap().from, 1);
         proxy.connect("k2", &backend);
     }
@@ -372,31 +379,35 @@
 }
 
 #[test]
-fn a_planned_stop_answers_newcomers_and_moves_everyone_in_time() {
+fn a_planned_stop_answers_new_requests_and_moves_all_clients_in_time() {
     let backend = Backend::new("n");
     let mut proxy = Proxy::start("stop", &[&backend]);
     let mut connections: Vec<_> = (0..12).map(|i| proxy.connect(&format!("k{i}"), &backend)).collect();
-    let told = Instant::now();
+    let signaled_at = Instant::now();
     proxy.signal("-TERM");
     let mut unanswered = proxy.open("late");
-    let _silent_claim = backend.accept_open();
+    let _silent_attempt = backend.accept_open();
     connections.push(proxy.connect("new", &backend));
-    let mut times = Vec::new();
+    let mut move_times = Vec::new();
     for (client, _) in &mut connections {
         assert_eq!(client.line(), "MOVE\r\n");
         assert_eq!(client.read_to_end(), (String::new(), false));
-        times.push(told.elapsed());
+        move_times.push(signaled_at.elapsed());
     }
     let answer = unanswered.line();
     assert!(answer.starts_with("BUSY") || answer == "ERR\r\n", "{answer:?}");
     assert!(proxy.wait_for_exit().success());
-    assert!(told.elapsed() < Duration::from_millis(3700), "{:?}", told.elapsed());
-    assert!(*times.last().unwrap() - times[0] > SECOND, "in a spread: {times:?}");
+    assert!(signaled_at.elapsed() < Duration::from_millis(3700), "{:?}", signaled_at.elapsed());
+    assert!(
+        *move_times.last().unwrap() - move_times[0] > SECOND,
+        "the moves are spread over time: {move_times:?}"
+    );
 }
 
-// Guards against SIGHUP ending the process, and against a proxy that stays with a discovery which is gone.
+// Guards against a SIGHUP that ends the process, and against a proxy that keeps using a discovery service
+// that is gone.
 #[test]
-fn a_reload_turns_to_another_machine_list_and_keeps_everyone() {
+fn a_reload_switches_to_another_discovery_and_keeps_all_connections() {
     let backends = [Backend::new("n0"), Backend::new("n1")];
     let mut proxy = Proxy::start("reload", &[&backends[0]]);
     let (mut client, mut at_backend) = proxy.connect("k", &backends[0]);
@@ -409,30 +420,31 @@
         discovery.publish(&backends[1].entry("ready"));
         let old = proxy.reload_with_discovery(discovery);
         assert!(proxy.next_log_line().contains(&proxy.discovery.address.to_string()));
-        // The whole list first, then a watch from there on the same connection.
+        // The proxy first asks for a snapshot, then watches from the snapshot's index on the same connection.
         let calls: Vec<_> =
             (0..2).map(|_| proxy.discovery.calls.recv_timeout(TEST_TIMEOUT).unwrap()).collect();
         assert_eq!(
             calls.iter().map(|call| (call.connection, call.from)).collect::<Vec<_>>(),
             [(0, 0), (0, 3)]
         );
-        assert!(old.calls.try_recv().is_err(), "the old one hears no more");
+        assert!(old.calls.try_recv().is_err(), "the old discovery receives no more calls");
         client.send(&format!("m {round}\r\n"));
         assert_eq!(at_backend.line(), format!("m {round}\r\n"));
     }
     proxy.discovery.publish(&backends[0].entry("draining"));
     assert_eq!(client.line(), "MOVE\r\n");
     proxy.connect("k2", &backends[1]);
-    // The same config again changes nothing, and a planned stop works as before.
+    // A reload of the same config changes nothing, and a planned stop works as before.
     proxy.signal("-HUP");
     proxy.signal("-TERM");
     assert!(proxy.wait_for_exit().success());
     assert!(proxy.discovery.calls.try_iter().all(|call| call.from > 0));
 }
 
-// Guards against a proxy that stays with a discovery which is gone, as its config was not all there at SIGHUP.
+// Guards against a proxy that keeps using a discovery service that is gone, because its config file was
+// incomplete at SIGHUP.
 #[test]
-fn a_config_still_being_written_at_a_reload_is_taken_up_once_it_is_whole() {
+fn a_config_that_is_incomplete_at_a_reload_takes_effect_once_it_is_complete() {
     let backend = Backend::new("n");
     let proxy = Proxy::start("slow-write", &[&backend]);
     let next = Discovery::new();
@@ -440,33 +452,36 @@
     proxy.reload("{\"name\":");
     assert!(proxy.next_log_line().contains("the old config stays"));
     proxy.write_config(&next);
-    assert!(proxy.next_log_line().contains(&next.address.to_string()), "one complaint, then the new one");
+    assert!(
+        proxy.next_log_line().contains(&next.address.to_string()),
+        "one error message, then the new discovery"
+    );
     assert_eq!(next.calls.recv_timeout(TEST_TIMEOUT).unwrap().from, 0);
 }
 
 #[test]
-fn probes_ask_for_the_load_on_one_connection() {
+fn probes_reuse_one_connection_and_a_backend_at_capacity_gets_no_request() {
     let backend = Backend::new("n");
     let settings = SETTINGS.replace("\"max-attempts\"", "\"may-probe\":true,\"max-attempts\"");
     let proxy = Proxy::start_with("probes", 1024, &[backend.entry("ready")], &settings);
-    let _submitter = proxy.open("k");
+    let _client = proxy.open("k");
     let (mut probe, line) = backend.accept_open();
     assert_eq!(line, "STATS\r\n");
     probe.send("PONG x0=0.4,svc_ms=11.5\r\n");
     let (_at_backend, line) = backend.accept_open();
     assert!(line.starts_with("OPEN "), "{line}");
-    // A report is good for a second; the next job's probe comes over the connection that is there.
+    // A load report is valid for a second. The probe for the next request reuses the existing connection.
     std::thread::sleep(SECOND);
     let mut next = proxy.open("k2");
     assert_eq!(probe.line(), "STATS\r\n");
     probe.send("PONG x0=1.4,svc_ms=400\r\n");
-    assert!(next.line().starts_with("BUSY "), "a full backend gets nothing");
+    assert!(next.line().starts_with("BUSY "), "a backend at capacity gets no request");
 }
 
 #[test]
-fn too_many_submitters_are_refused_and_the_rest_are_served() {
+fn clients_beyond_the_limit_are_refused_until_a_slot_is_free() {
     let backend = Backend::new("n");
-    // Room for two jobs beside the descriptors that are kept.
+    // The limit leaves descriptors for two requests beside the reserved ones.
     let proxy = Proxy::start_with("limits", 60, &[backend.entry("ready")], SETTINGS);
     let mut connections: Vec<_> = (0..2).map(|i| proxy.connect(&format!("k{i}"), &backend)).collect();
     let mut third = proxy.open("k3");
@@ -477,7 +492,7 @@
     at_backend.shutdown_write();
     assert_eq!(client.read_to_end().0, "BYE\r\n");
     drop((client, at_backend));
-    // The place is free once the task has ended, a moment after the end was passed on.
+    // The slot is free once the task of the request has ended, a moment after the end was relayed.
     let start = Instant::now();
     while start.elapsed() < TEST_TIMEOUT {
         let mut next = proxy.open("k4");
@@ -487,23 +502,23 @@
             return backend.accept_open().0.send("UP r\r\n");
         }
     }
-    panic!("the place is never free");
+    panic!("the slot is never free");
 }
 
 #[test]
-fn a_proxy_out_of_descriptors_survives_and_serves_again() {
+fn a_proxy_out_of_descriptors_refuses_clients_and_serves_again() {
     let backend = Backend::new("n");
-    // The config promises far more than the process is given.
+    // The config names far more descriptors than the process may open.
     let proxy = Proxy::start_limited("descriptors", 24, 1024, &[backend.entry("ready")]);
-    let crowd: Vec<Peer> = (0..40).map(|_| proxy.client()).collect();
-    // Some of them were let in just to be told.
-    let told = crowd.into_iter().filter_map(|mut peer| peer.line_within(Duration::from_millis(100)));
-    assert!(told.into_iter().any(|line| line == "BUSY 1000\r\n"));
+    let idle_clients: Vec<Peer> = (0..40).map(|_| proxy.client()).collect();
+    // Some of the clients were accepted only to be refused.
+    let lines = idle_clients.into_iter().filter_map(|mut peer| peer.line_within(Duration::from_millis(100)));
+    assert!(lines.into_iter().any(|line| line == "BUSY 1000\r\n"));
     proxy.connect("k", &backend);
 }
 
 #[test]
-fn a_job_served_before_it_was_up_is_not_tried_again() {
+fn a_request_answered_with_bye_before_up_is_not_retried() {
     let backend = Backend::new("n");
     let proxy = Proxy::start("bye", &[&backend]);
     let mut client = proxy.open("k");
@@ -514,25 +529,25 @@
 }
 
 #[test]
-fn a_bad_config_is_one_plain_line_and_code_2() {
-    let good = config_text(closed(), 1024, "", SETTINGS);
-    let bad = [
+fn an_invalid_config_gives_one_error_line_and_exit_code_2() {
+    let valid = config_text(closed_address(), 1024, "", SETTINGS);
+    let invalid = [
         ("{", "config"),
-        (&good.replace("00000000000000a7", "seven"), "seed"),
-        (&good.replace("\"max-attempts\":4", "\"max-attempts\":0"), "max_attempts"),
-        (&good.replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"here\""), "listen"),
-        (&good.replace("\"classes\"", "\"glasses\""), "classes"),
+        (&valid.replace("00000000000000a7", "seven"), "seed"),
+        (&valid.replace("\"max-attempts\":4", "\"max-attempts\":0"), "max_attempts"),
+        (&valid.replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"here\""), "listen"),
+        (&valid.replace("\"classes\"", "\"glasses\""), "classes"),
     ];
-    for (i, (text, names)) in bad.iter().enumerate() {
-        let path = write_config_file(&format!("bad{i}"), text);
+    for (i, (text, field)) in invalid.iter().enumerate() {
+        let path = write_config_file(&format!("invalid{i}"), text);
         for arguments in [vec!["serve"], vec!["check", path.to_str().unwrap()]] {
             let output = program_command(&arguments).env("LB_CONFIG", &path).output().unwrap();
-            let said = String::from_utf8(output.stderr).unwrap();
-            assert_eq!(output.status.code(), Some(2), "{said}");
-            assert!(said.lines().count() == 1 && said.contains(names), "{said}");
+            let error_text = String::from_utf8(output.stderr).unwrap();
+            assert_eq!(output.status.code(), Some(2), "{error_text}");
+            assert!(error_text.lines().count() == 1 && error_text.contains(field), "{error_text}");
         }
     }
-    let path = write_config_file("good", &good);
+    let path = write_config_file("good", &valid);
     let output = program_command(&["check", path.to_str().unwrap()]).output().unwrap();
     assert!(output.status.success() && output.stdout.starts_with(b"good"));
     assert_eq!(program_command(&["serve"]).output().unwrap().status.code(), Some(2), "no config at all");
@@ -540,41 +555,41 @@
 }
 
 #[test]
-fn settings_of_our_own_that_cannot_be_used_name_file_line_and_key() {
+fn invalid_program_settings_give_one_error_line_with_file_line_and_key() {
     let path = write_config_file("own-settings", "[log]\nformat = \"text\"\nlines_per_second = 0\n");
-    let named = path.to_str().unwrap();
-    let check = || program_command(&["check", "--settings", named]).output().unwrap();
+    let path_text = path.to_str().unwrap();
+    let check = || program_command(&["check", "--settings", path_text]).output().unwrap();
     let cases = [
         ("[log]\nlines_per_second = 0\n", "line 2: log.lines_per_second: "),
         ("[log]\n\nformat = \"xml\"\n", "line 3: log.format: "),
         ("\n[log]\nlevels = \"info\"\n", "line 3: log.levels: "),
         ("[log\n", "line 1: "),
     ];
-    for (text, said) in cases {
+    for (text, expected) in cases {
         std::fs::write(&path, text).unwrap();
         let output = check();
-        let complaint = String::from_utf8(output.stderr).unwrap();
-        assert_eq!(output.status.code(), Some(2), "{text}: {complaint}");
-        assert_eq!(complaint.lines().count(), 1, "{complaint}");
-        assert!(complaint.contains(named) && complaint.contains(said), "{complaint}");
+        let error_text = String::from_utf8(output.stderr).unwrap();
+        assert_eq!(output.status.code(), Some(2), "{text}: {error_text}");
+        assert_eq!(error_text.lines().count(), 1, "{error_text}");
+        assert!(error_text.contains(path_text) && error_text.contains(expected), "{error_text}");
     }
     std::fs::write(&path, include_str!("../../../deploy/pierloom.toml")).unwrap();
     assert_eq!(check().status.code(), Some(0));
 }
 
-/// Guards against a connection that is never without something to pass on, and keeps the thread from all others.
+// Guards against a connection that always has data to relay, and so keeps the thread from all others.
 #[test]
-fn a_submitter_that_floods_delays_nobody() {
+fn a_client_that_floods_does_not_delay_others() {
     let backend = Backend::new("n");
     let proxy = Proxy::start("flood", &[&backend]);
-    let (floods, at_backend) = proxy.connect("f", &backend);
+    let (flooding_client, at_backend) = proxy.connect("f", &backend);
     std::thread::spawn(move || {
-        let (mut at_backend, mut part) = (at_backend.stream().try_clone().unwrap(), vec![0; 1 << 18]);
-        while std::io::Read::read(&mut at_backend, &mut part).is_ok_and(|read| read > 0) {}
+        let (mut at_backend, mut buffer) = (at_backend.stream().try_clone().unwrap(), vec![0; 1 << 18]);
+        while std::io::Read::read(&mut at_backend, &mut buffer).is_ok_and(|read| read > 0) {}
     });
     std::thread::spawn(move || {
         let block = b"a message\r\n".repeat(20_000);
-        while std::io::Write::write_all(&mut floods.stream(), &block).is_ok() {}
+        while std::io::Write::write_all(&mut flooding_client.stream(), &block).is_ok() {}
     });
     for n in 0..100 {
         let since = Instant::now();
