--- a/crates/pierloom/tests/bad_input.rs
+++ b/crates/pierloom/tests/bad_input.rs
@@ -1,8 +1,9 @@
-//! Spoilt words from all sides: each has one stated behaviour (docs/design/crossings.md), and harms nobody else.
+//! Invalid input from clients, backends, discovery and the config. Each case has one specified behaviour
+//! (docs/design/crossings.md) and affects no other connection.
 
 #![allow(clippy::disallowed_types, clippy::disallowed_methods)] // peers of the real program, on real sockets
 
-#[allow(dead_code)] // each test program uses its part
+#[allow(dead_code)] // each test program uses only a part of the harness
 mod harness;
 
 use harness::{
@@ -11,49 +12,55 @@
 };
 use std::time::Duration;
 
-/// Answers the next call with that list and waits for the call after it; its version.
-fn told(proxy: &Proxy, body: &str) -> u64 {
+/// Answers the next call with this endpoint list and waits for the call after it. Returns the index that the
+/// later call watches from.
+fn index_after_answer(proxy: &Proxy, body: &str) -> u64 {
     proxy.discovery.send_raw_answer(http_response(body, body.len()));
     proxy.discovery.calls.recv_timeout(TEST_TIMEOUT).unwrap().from
 }
 
-// Stated: what can be read of a list is taken as told, entry by entry, the later one of a name; an entry without an
-// address keeps the one known; a lower version is where the next watch begins; figures out of all range are cut down.
+// Specified: the proxy uses each valid entry of an endpoint list; of two entries with one name, the later
+// one. An entry without an address keeps the known address. The next watch starts at the index of the list,
+// even if that is lower than before. Values out of range are clamped.
 #[test]
-fn odd_lists_are_taken_as_far_as_they_tell() {
+fn partly_invalid_endpoint_lists_are_used_as_far_as_they_are_valid() {
     let backends = [Backend::new("n0"), Backend::new("n1")];
     let proxy = Proxy::start("odd-lists", &[&backends[0]]);
     proxy.discovery.calls.recv_timeout(TEST_TIMEOUT).unwrap();
-    let (ready, drains) = (backends[0].entry("ready"), backends[0].entry("draining"));
-    // Indented, and one name twice.
+    let (ready, draining) = (backends[0].entry("ready"), backends[0].entry("draining"));
+    // The JSON is indented, and one name stands twice.
     let body = format!(
-        "{{\r\n  \"index\": 7,\n\t\"snapshot\": false,\n  \"endpoints\": [\n    {drains},\n    {ready}\n  ]\n}}\n"
+        "{{\r\n  \"index\": 7,\n\t\"snapshot\": false,\n  \"endpoints\": [\n    {draining},\n    {ready}\n  ]\n}}\n"
     );
-    assert_eq!(told(&proxy, &body), 7);
+    assert_eq!(index_after_answer(&proxy, &body), 7);
     proxy.connect("a", &backends[0]);
-    // No address, and a version that goes back.
-    let bare = r#"{"name":"n0","status":"ready"}"#;
-    assert_eq!(told(&proxy, &format!(r#"{{"index":3,"snapshot":false,"endpoints":[{bare}]}}"#)), 3);
+    // The entry has no address, and the index goes back.
+    let no_address = r#"{"name":"n0","status":"ready"}"#;
+    assert_eq!(
+        index_after_answer(&proxy, &format!(r#"{{"index":3,"snapshot":false,"endpoints":[{no_address}]}}"#)),
+        3
+    );
     proxy.connect("b", &backends[0]);
-    // No address that was ever known, an address that is none, and figures that no machine has.
-    let odd = ready
+    // One entry has no address and none is known, one has an invalid address, and one has impossible values.
+    let out_of_range = ready
         .replace("\"since_ms\":0", "\"since_ms\":18446744073709551615")
         .replace("\"weight\":1.0", "\"weight\":1e308");
-    let wrong = backends[1].entry("ready").replace("127.0.0.1:", "nowhere:");
+    let unparsable = backends[1].entry("ready").replace("127.0.0.1:", "nowhere:");
     let body = format!(
-        r#"{{"index":4,"snapshot":true,"endpoints":[{odd},{wrong},{{"name":"n2","status":"ready"}}]}}"#
+        r#"{{"index":4,"snapshot":true,"endpoints":[{out_of_range},{unparsable},{{"name":"n2","status":"ready"}}]}}"#
     );
-    assert_eq!(told(&proxy, &body), 4);
+    assert_eq!(index_after_answer(&proxy, &body), 4);
     let body = format!(r#"{{"index":5,"snapshot":true,"endpoints":[{}]}}"#, backends[1].entry("ready"));
-    assert_eq!(told(&proxy, &body), 5);
+    assert_eq!(index_after_answer(&proxy, &body), 5);
     proxy.connect("c", &backends[1]);
 }
 
-// Guards against a list that is thrown away for one entry: what it says of others who leave counts as told.
+// Guards against an endpoint list that is discarded because of one invalid entry: drains of other backends in
+// the same list must be obeyed.
 #[test]
-fn an_entry_that_cannot_be_read_harms_no_other() {
+fn an_invalid_endpoint_entry_leaves_the_other_entries_in_effect() {
     let backends = [Backend::new("n0"), Backend::new("n1")];
-    for (i, odd) in [
+    for (i, invalid) in [
         r#"{"name":7,"status":"ready"}"#,
         r#"{"name":"x","status":"vanished"}"#,
         r#"{"name":"x","address":"127.0.0.1:1","status":"ready","since_ms":-1}"#,
@@ -66,58 +73,61 @@
         let proxy = Proxy::start(&format!("entry{i}"), &[&backends[0], &backends[1]]);
         let (mut client, _at_backend) = proxy.connect_any("k", &backends);
         proxy.discovery.calls.recv_timeout(TEST_TIMEOUT).unwrap();
-        let leaving = backends.each_ref().map(|backend| backend.entry("draining")).join(",");
-        let changes = format!(r#"{{"index":9,"snapshot":false,"endpoints":[{odd},{leaving}]}}"#);
-        proxy.discovery.send_raw_answer(http_response(&changes, changes.len()));
-        assert_eq!(client.line(), "MOVE\r\n", "{odd}");
-        // Whole, with the odd one for a node that is known: that one stays as it was, and the other one is used.
-        let known = backends[0].entry("vanished");
-        let whole = format!(
-            r#"{{"index":10,"snapshot":true,"endpoints":[{odd},{known},{}]}}"#,
+        let draining = backends.each_ref().map(|backend| backend.entry("draining")).join(",");
+        let delta = format!(r#"{{"index":9,"snapshot":false,"endpoints":[{invalid},{draining}]}}"#);
+        proxy.discovery.send_raw_answer(http_response(&delta, delta.len()));
+        assert_eq!(client.line(), "MOVE\r\n", "{invalid}");
+        // The snapshot has an invalid entry for a known backend. That backend stays as it was, and the other
+        // one is used.
+        let invalid_known = backends[0].entry("vanished");
+        let snapshot = format!(
+            r#"{{"index":10,"snapshot":true,"endpoints":[{invalid},{invalid_known},{}]}}"#,
             backends[1].entry("ready")
         );
-        proxy.discovery.send_raw_answer(http_response(&whole, whole.len()));
+        proxy.discovery.send_raw_answer(http_response(&snapshot, snapshot.len()));
         assert_eq!(proxy.discovery.calls.recv_timeout(TEST_TIMEOUT).unwrap().from, 9);
         let served = || proxy.open("k2").line_within(Duration::from_millis(50)).is_none().then_some(());
         poll_until(served).expect("an attempt");
         backends[1].accept_open();
-        assert!(backends[0].has_no_new_connection(), "{odd}");
+        assert!(backends[0].has_no_new_connection(), "{invalid}");
     }
 }
 
-// Stated: an answer that is cut, longer than a line may be, no line of the protocol, or says two things counts as a
-// broken or failed attempt; what came behind the last word of a failed one is dropped with its connection.
+// Specified: an answer that is cut off, longer than the line limit, not a line of the protocol, or followed
+// by a second answer counts as a broken or failed attempt. What follows the final answer of a failed attempt
+// is dropped with its connection.
 #[test]
-fn a_node_that_answers_nonsense_costs_one_attempt_and_nobody_else() {
+fn an_invalid_answer_of_a_backend_fails_one_attempt_and_the_request_is_served() {
     let endless = "U".repeat(100_000);
     for (i, answer) in ["UP r", &endless, "BUSY\r\nBUSY\r\n", "\r\n", "UPR r\r\n", "\u{7f}\u{0}\r\nUP r\r\n"]
         .iter()
         .enumerate()
     {
-        let (odd, sound) = (Backend::new("n0"), Backend::new("n1"));
-        let proxy = Proxy::start(&format!("nonsense{i}"), &[&odd, &sound]);
+        let (invalid_backend, healthy_backend) = (Backend::new("n0"), Backend::new("n1"));
+        let proxy = Proxy::start(&format!("nonsense{i}"), &[&invalid_backend, &healthy_backend]);
         for n in 0..8 {
             let mut client = proxy.open(&format!("k{n}"));
-            let said = harness::poll_until(|| {
-                if let Some((at_odd, _)) = odd.try_accept_open() {
-                    // It may be cut off in the middle.
-                    let _ = std::io::Write::write_all(&mut at_odd.stream(), answer.as_bytes());
-                    at_odd.shutdown_write();
+            let established = harness::poll_until(|| {
+                if let Some((at_invalid, _)) = invalid_backend.try_accept_open() {
+                    // The proxy may close the connection before the answer is complete.
+                    let _ = std::io::Write::write_all(&mut at_invalid.stream(), answer.as_bytes());
+                    at_invalid.shutdown_write();
                 }
-                sound.try_accept_open().map(|(mut at_sound, _)| {
-                    at_sound.send("UP r1\r\n");
-                    at_sound
+                healthy_backend.try_accept_open().map(|(mut at_healthy, _)| {
+                    at_healthy.send("UP r1\r\n");
+                    at_healthy
                 })
             });
-            assert!(said.is_some(), "{answer:.20?}: request {n} is tried at the sound one");
+            assert!(established.is_some(), "{answer:.20?}: request {n} is tried at the healthy backend");
             assert_eq!(client.line(), "UP r1\r\n");
         }
     }
 }
 
-// Stated: after the answer that brings it up, whatever a node says is passed on unchanged, a second answer too.
+// Specified: after the answer that establishes the connection, the proxy relays all lines of the backend
+// unchanged, a second answer too.
 #[test]
-fn a_second_answer_behind_the_first_is_passed_on() {
+fn a_second_answer_after_up_is_relayed_unchanged() {
     let backend = Backend::new("n");
     let proxy = Proxy::start("second", &[&backend]);
     let mut client = proxy.open("k");
@@ -128,17 +138,17 @@
     assert_eq!(client.line(), "BUSY\r\n");
 }
 
-// Stated: clients that send much and go, or say half a line and rest, cost a place among those not heard yet, for a
-// second and a half at most, and no memory.
+// Specified: a client that sends much data and leaves, or sends half a line and stays idle, occupies a slot
+// of the connections without a request for 1.5 seconds at most, and uses no memory.
 #[test]
-fn floods_of_words_from_clients_that_go_harm_nobody() {
+fn clients_that_flood_and_reset_use_little_memory_and_block_no_others() {
     let backend = Backend::new("n");
     let proxy = Proxy::start_limited("floods", 128, 128, &[backend.entry("ready")]);
     let flood = vec![b'x'; 300_000];
     for _ in 0..60 {
         let peer = proxy.client();
         peer.stream().set_write_timeout(Some(Duration::from_millis(20))).unwrap();
-        // Nobody has to take in all of it.
+        // The proxy does not have to read all of it.
         let _ = std::io::Write::write_all(&mut peer.stream(), &flood);
         peer.reset();
     }
@@ -146,46 +156,47 @@
     assert!(proxy.peak_memory_kb() < 32 << 10);
 }
 
-// Stated: unknown settings are passed over, times beyond thirty years count as that, and what cannot be met is refused
-// with the field's name.
+// Specified: unknown settings are ignored, times beyond thirty years count as thirty years, and settings that
+// the proxy cannot obey are rejected with the name of the field.
 #[test]
-fn settings_out_of_range_are_met_or_refused_by_name() {
+fn settings_out_of_range_are_clamped_or_rejected_with_the_field_name() {
     let backend = Backend::new("n");
-    let odd = SETTINGS
+    let unusual = SETTINGS
         .replace("\"deadline\":4.8", "\"deadline\":1e300,\"colour\":3")
         .replace("\"balancers\":1", "\"balancers\":1,\"more\":{}");
-    let proxy = Proxy::start_with("odd-settings", 1024, &[backend.entry("ready")], &odd);
+    let proxy = Proxy::start_with("unusual-settings", 1024, &[backend.entry("ready")], &unusual);
     proxy.connect("k", &backend);
-    for (from, to, field) in [
+    for (valid, invalid, field) in [
         ("\"connect-timeout\":0.2", "\"connect-timeout\":-1", "connect_timeout"),
         ("\"deadline\":4.8", "\"deadline\":-4", "deadline"),
         ("\"target\":0.8,", "", "target"),
         ("\"effect\":\"repeatable\"", "\"effect\":\"twice\"", "effect"),
         ("\"max-attempts\":4", "\"max-attempts\":-4", "max-attempts"),
     ] {
-        let settings = SETTINGS.replace(from, to);
+        let settings = SETTINGS.replace(valid, invalid);
         let path = write_config_file(
-            "odd-refused",
+            "unusual-refused",
             &harness::config_text(proxy.discovery.address, 1024, "", &settings),
         );
         let output = program_command(&["check", path.to_str().unwrap()]).output().unwrap();
-        let said = String::from_utf8(output.stderr).unwrap();
-        assert_eq!(output.status.code(), Some(2), "{field}: {said}");
-        assert!(said.contains(field) && said.lines().count() == 1, "{field}: {said}");
+        let error_text = String::from_utf8(output.stderr).unwrap();
+        assert_eq!(output.status.code(), Some(2), "{field}: {error_text}");
+        assert!(error_text.contains(field) && error_text.lines().count() == 1, "{field}: {error_text}");
     }
 }
 
-// Guards against a job that is sent on though its client left in the moment in which it came, or while it waited.
+// Guards against a request that is sent to a backend although its client left just as the request arrived, or
+// while the request waited.
 #[test]
-fn a_submitter_that_has_gone_is_not_served() {
+fn a_request_whose_client_has_left_reaches_no_backend() {
     let backend = FullQueueBackend::new("n");
     let settings = SETTINGS.replace("\"max-attempts\"", "\"may-probe\":true,\"max-attempts\"");
     let proxy = Proxy::start_with("gone", 1024, &[backend.entry("ready")], &settings);
-    // Its whole life is there at once.
+    // When the proxy resumes, the client's connection, request and end are ready at the same time.
     proxy.suspend();
     drop(proxy.open("a"));
     proxy.resume();
-    // One that waits for a probe, whose answer comes with the client's end.
+    // This request waits for a probe whose answer arrives together with the client's end.
     let waiting = proxy.open("b");
     let mut probe = backend.accept();
     assert_eq!(probe.line(), "STATS\r\n");
@@ -195,7 +206,7 @@
     proxy.resume();
     let mut served = proxy.open("c");
     let mut at_backend = backend.accept();
-    assert!(at_backend.line().starts_with("OPEN 0ac "), "the first that is sent on");
+    assert!(at_backend.line().starts_with("OPEN 0ac "), "the first request that reaches the backend");
     at_backend.send("UP r\r\n");
     assert_eq!(served.line(), "UP r\r\n");
 }
