--- a/crates/pierloom/tests/bad_input.rs
+++ b/crates/pierloom/tests/bad_input.rs
@@ -27,10 +27,10 @@
     let backends = [Backend::new("n0"), Backend::new("n1")];
     let proxy = Proxy::start("odd-lists", &[&backends[0]]);
     proxy.discovery.calls.recv_timeout(TEST_TIMEOUT).unwrap();
-    let (ready, draining) = (backends[0].entry("ready"), backends[0].entry("draining"));
+    let (ready, drain) = (backends[0].entry("ready"), backends[0].entry("draining"));
     // The JSON is indented, and one name stands twice.
     let body = format!(
-        "{{\r\n  \"index\": 7,\n\t\"snapshot\": false,\n  \"endpoints\": [\n    {draining},\n    {ready}\n  ]\n}}\n"
+        "{{\r\n  \"index\": 7,\n\t\"snapshot\": false,\n  \"endpoints\": [\n    {drain},\n    {ready}\n  ]\n}}\n"
     );
     assert_eq!(index_after_answer(&proxy, &body), 7);
     proxy.connect("a", &backends[0]);
@@ -42,12 +42,12 @@
     );
     proxy.connect("b", &backends[0]);
     // One entry has no address and none is known, one has an invalid address, and one has impossible values.
-    let out_of_range = ready
+    let extreme = ready
         .replace("\"since_ms\":0", "\"since_ms\":18446744073709551615")
         .replace("\"weight\":1.0", "\"weight\":1e308");
-    let unparsable = backends[1].entry("ready").replace("127.0.0.1:", "nowhere:");
+    let nowhere = backends[1].entry("ready").replace("127.0.0.1:", "nowhere:");
     let body = format!(
-        r#"{{"index":4,"snapshot":true,"endpoints":[{out_of_range},{unparsable},{{"name":"n2","status":"ready"}}]}}"#
+        r#"{{"index":4,"snapshot":true,"endpoints":[{extreme},{nowhere},{{"name":"n2","status":"ready"}}]}}"#
     );
     assert_eq!(index_after_answer(&proxy, &body), 4);
     let body = format!(r#"{{"index":5,"snapshot":true,"endpoints":[{}]}}"#, backends[1].entry("ready"));
