--- a/crates/decision/src/admission.rs
+++ b/crates/decision/src/admission.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// Weight of the newest tick in the moving average of the arrival rate (the paper's alpha).
+/// Weight of the newest tick in the exponentially weighted moving average of the arrival rate.
 const ARRIVAL_EWMA_WEIGHT: f64 = 0.5;
 /// Number of bins that a typical admitted rate spans. Bins are wide enough that ticks of equal load share
 /// one.
@@ -63,7 +63,7 @@
     }
 }
 
-/// State of the paper's admission control.
+/// State of the admission control: the learned curve, the counts of the current tick and the flash mode.
 pub(crate) struct Admission {
     /// Length of a tick.
     pub tick: Micros,
--- a/crates/decision/src/api.rs
+++ b/crates/decision/src/api.rs
@@ -95,8 +95,8 @@
     /// Whether the host delivers changes of the endpoints only after [`Action::Subscribe`]; otherwise they
     /// arrive unprompted. Setting `membership-mode`: `ask`.
     pub ask_for_list: bool,
-    /// Without a subscription, an endpoint list older than this counts as known to the proxy. Setting
-    /// `contract.ask-within`.
+    /// Time within which the endpoints are asked for without a subscription. The first call to discovery is
+    /// delayed by at most a quarter of it. Setting `contract.ask-within`.
     pub ask_within: Micros,
     /// A change of the endpoints must be obeyed this long after discovery could have reported it, received or
     /// not. Endpoints older than this therefore allow no new attempt. `None` if there is no such limit. Time
--- a/crates/decision/src/fair_share.rs
+++ b/crates/decision/src/fair_share.rs
@@ -14,8 +14,8 @@
 const MIN_MEAN_LIFETIME_SECONDS: f64 = 25.0;
 /// Number of own connections that this lifetime weighs as much as.
 const MIN_LIFETIME_CONNECTIONS: f64 = 2.0;
-/// Windows of slow-start budget that are saved, up to one connection where windows hold less. A burst would
-/// spend what is saved beyond that.
+/// Tokens of at most this many windows are saved. Beyond the tokens of one window, the saved ones are limited
+/// to one connection in all, as a burst would spend them all at once.
 const MAX_SAVED_WINDOWS: f64 = 8.0;
 /// Share of their capacity at which all backends are used, as assumed before any arrivals.
 const DEFAULT_UTILIZATION: f64 = 0.8;
@@ -49,9 +49,11 @@
 }
 
 /// Share of the arrivals within `REPORT_LAG_US` that find spare capacity. `headroom` is the free share of
-/// backends that hold `capacity` connections, and each arrival takes up `loads` mean loads.
-fn admitted_share(headroom: f64, loads: f64, capacity: f64, arrivals: f64) -> f64 {
-    headroom * capacity / (loads * arrivals * REPORT_LAG_US as f64 / 1e6).max(f64::MIN_POSITIVE)
+/// backends that hold `capacity` connections, and each arrival takes up
+/// `mean_loads_per_arrival` mean loads.
+fn admitted_share(headroom: f64, mean_loads_per_arrival: f64, capacity: f64, arrivals: f64) -> f64 {
+    headroom * capacity
+        / (mean_loads_per_arrival * arrivals * REPORT_LAG_US as f64 / 1e6).max(f64::MIN_POSITIVE)
 }
 
 /// A number from 0 to 1, determined by the proxy, the request and the second. A retry within the second draws
@@ -138,11 +140,12 @@
             .take_while(|&&at| at + ARRIVAL_WINDOW_US > now)
             .count()
             .saturating_sub(1);
-        // A group costs a backend one mean load more, whatever follows.
-        let loads = if self.settings.groups { 2.0 } else { 1.0 };
+        // Where groups share work, an arrival counts with one mean load more for the work of its group,
+        // however many connections of the group follow.
+        let mean_loads_per_arrival = if self.settings.groups { 2.0 } else { 1.0 };
         let share = admitted_share(
             total / weight,
-            loads,
+            mean_loads_per_arrival,
             capacity,
             arrivals_per_second(observed, capacity, lifetime, f64::from(self.settings.proxies)),
         );
--- a/crates/decision/src/fair_share/tests.rs
+++ b/crates/decision/src/fair_share/tests.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn arrivals_at_one_proxy_indicate_those_at_all_and_none_indicates_few() {
+fn arrivals_at_all_proxies_are_the_mean_of_the_assumed_and_the_extrapolated_rate() {
     // One a second at each of 300 proxies: half of it counts, beside half of the assumed arrivals.
     assert!((arrivals_per_second(2, 2_475.0, 39.0, 300.0) - 175.4).abs() < 0.1);
     assert!(arrivals_per_second(0, 2_475.0, 39.0, 300.0) < 26.0);
@@ -25,7 +25,7 @@
 // learned from own connections, so that a service of heavy or long connections is not taken for one of light
 // or short ones.
 #[test]
-fn connections_per_core_and_their_lifetime_are_learned() {
+fn estimates_start_at_the_defaults_and_approach_the_observed_values() {
     assert_eq!(connections_per_core(0.0, 0.0), 10.0);
     // Sixteen of 71,400 each, beside four that count as 100,000: 13 fill a core, and 14 truly do.
     assert!((connections_per_core(16.0, 16.0 * 71_400.0) - 12.97).abs() < 0.01);
--- a/crates/decision/src/learned_state.rs
+++ b/crates/decision/src/learned_state.rs
@@ -7,20 +7,22 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What was learned about one backend, apart from the endpoint list. Times are on the clock that all
-/// processes read.
+/// What was learned about one backend, apart from the endpoint list. Times are on the clock of the process
+/// that wrote them; [`LearnedState::with_clock_offset`] converts them.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 struct LearnedBackend {
     started: Micros,
     failures: f64,
-    failed_at: Micros,
+    #[serde(rename = "failed_at")]
+    failures_at: Micros,
     /// `None` for a backend that was never slow.
     #[serde(rename = "ceiling")]
     load_limit: Option<f64>,
     #[serde(rename = "cut_at")]
     load_limit_cut_at: Micros,
     slow_until: Micros,
-    shed_until: Micros,
+    #[serde(rename = "shed_until")]
+    next_shed_at: Micros,
     tokens: f64,
     tokens_at: Micros,
 }
@@ -69,10 +71,10 @@
         for known in self.backends.values_mut() {
             let times = [
                 &mut known.started,
-                &mut known.failed_at,
+                &mut known.failures_at,
                 &mut known.load_limit_cut_at,
                 &mut known.slow_until,
-                &mut known.shed_until,
+                &mut known.next_shed_at,
                 &mut known.tokens_at,
             ];
             times.into_iter().for_each(|at| *at = with_clock_offset(*at, by));
@@ -90,11 +92,11 @@
             LearnedBackend {
                 started: backend.started,
                 failures: backend.failures,
-                failed_at: backend.failed_at,
+                failures_at: backend.failures_at,
                 load_limit: finite(backend.load_limit),
                 load_limit_cut_at: backend.load_limit_cut_at,
                 slow_until: backend.slow_until,
-                shed_until: backend.shed_until,
+                next_shed_at: backend.next_shed_at,
                 tokens: backend.tokens,
                 tokens_at: backend.tokens_at,
             }
@@ -131,11 +133,11 @@
             // This start time belongs to the endpoint list that is handed over with it. Unlike a time
             // reported by discovery, it does not depend on a clock that may be wrong.
             backend.started = learned_backend.started;
-            (backend.failures, backend.failed_at) = (learned_backend.failures, learned_backend.failed_at);
+            (backend.failures, backend.failures_at) = (learned_backend.failures, learned_backend.failures_at);
             (backend.load_limit, backend.load_limit_cut_at) =
                 (learned_backend.load_limit.unwrap_or(f64::INFINITY), learned_backend.load_limit_cut_at);
-            (backend.slow_until, backend.shed_until) =
-                (learned_backend.slow_until, learned_backend.shed_until);
+            (backend.slow_until, backend.next_shed_at) =
+                (learned_backend.slow_until, learned_backend.next_shed_at);
             (backend.tokens, backend.tokens_at) = (learned_backend.tokens, learned_backend.tokens_at);
         }
     }
--- a/crates/decision/src/logic.rs
+++ b/crates/decision/src/logic.rs
@@ -13,17 +13,17 @@
 const CROSS_ZONE_LOAD_FACTOR: f64 = 5.0;
 /// Extra table entries tried when both entries of a key are unusable. More would scatter groups.
 const EXTRA_TABLE_ENTRIES: u64 = 6;
-/// Share of reconnecting clients that skip a table entry which no own connection confirms to be healthy.
-const SKIP_SHARE: f64 = 0.5;
-/// A proxy of a large fleet confirms hardly any entry. A larger share would scatter groups as clients move.
-/// A client that loops at a shedding backend reaches another one after five returns on average.
-const LARGE_FLEET_SKIP_SHARE: f64 = 0.2;
+/// Probability that a reconnecting client skips an entry that no own connection confirms to be healthy.
+const SKIP_PROBABILITY: f64 = 0.5;
+/// A proxy of a large fleet confirms hardly any entry. Skipping more would scatter groups as clients move.
+/// A client that returns to an overloaded backend reaches another one after five returns on average.
+const LARGE_FLEET_SKIP_PROBABILITY: f64 = 0.2;
 /// An attempt may take the remaining time divided by this, which leaves time for two more backends.
 const ATTEMPT_TIME_DIVISOR: u64 = 3;
 /// Retries per request if the settings state no budget. The bound keeps a wide failure from being multiplied.
-const RETRY_RATIO: f64 = 0.5;
-/// Length of the window in which these retries are counted: a few retries of one request.
-const RETRY_SPAN_US: Micros = 5_000_000;
+const DEFAULT_RETRY_RATIO: f64 = 0.5;
+/// Window of the retry budget if the settings state none. It covers several retries of one request.
+const DEFAULT_RETRY_WINDOW_US: Micros = 5_000_000;
 /// A message over this share of the shortest message target is slow. The next load change may need the rest.
 const SLOW_MESSAGE_SHARE: f64 = 0.67;
 /// A slow backend's load limit, relative to the load at which the backend was slow.
@@ -40,23 +40,20 @@
 const MOVE_SHARE: f64 = 0.06;
 /// With delay reports, a slow backend sheds enough load to finish its backlog in this time.
 const DRAIN_TIME_US: f64 = 1_500_000.0;
-/// Bounds of the load that shedding aims at, as shares of the capacity of the backend.
-const MIN_TARGET: f64 = 0.3;
-const MAX_TARGET: f64 = 0.85;
+/// Bounds of the load after shedding, as shares of capacity. With reports, placement stops at the upper one.
+const MIN_LOAD: f64 = 0.3;
+const MAX_LOAD: f64 = 0.85;
 /// A backend sheds again only after this time, when reports show the effect of the last shedding.
 const SHED_INTERVAL_US: Micros = 1_500_000;
-/// Bound on the factor by which a long delay multiplies moves while most backends are slow: the moved clients
-/// find little spare capacity.
+/// Bound on how much a long delay multiplies moves while most backends are slow, as little capacity is spare.
 const MAX_MOVE_FACTOR_MOSTLY_SLOW: f64 = 2.0;
-/// A slow measurement keeps new connections off the backend this long, and a measurement counts as recent
-/// this long: three measurement intervals.
+/// A slow measurement bars new connections, and any measurement is recent, for three measurement intervals.
 const DELAY_MEASUREMENT_LIFETIME_US: Micros = 3_000_000;
 /// The first entry of a key with a reported load below this is taken, and none with a load of 1 or more.
 const LIGHT_LOAD_SHARE: f64 = 0.7;
 /// Decaying number of failures from which a backend is suspect: one failure, until a success.
 const SUSPECT_FAILURES: f64 = 0.75;
-/// Share of the failures kept after a success. A backend that fails two of five attempts stays suspect, and
-/// one that fails one of ten does not.
+/// Share of failures kept after a success: two failures in five attempts keep it suspect, one in ten not.
 const FAILURE_SHARE_AFTER_SUCCESS: f64 = 0.7;
 /// Failures decay by half in this time, and so outlast good and bad spells of some seconds.
 const FAILURE_HALF_LIFE_SECONDS: f64 = 10.0;
@@ -64,8 +61,7 @@
 const TRIAL_INTERVAL_CONNECT_TIMEOUTS: u64 = 4;
 /// Probes of an unverified backend before a request tries it: probing may fail where requests are served.
 const PROBES_PER_TRIAL: u32 = 2;
-/// From this many failed probes in a row of backends that serve us, no request waits for a probe: two may
-/// be chance.
+/// After this many failed probes in a row at backends in use, no request waits for one: two may be chance.
 const MAX_CONSECUTIVE_PROBE_FAILURES: u32 = 3;
 /// A held request is retried no sooner than this after it was last placed.
 const MIN_HOLD_US: Micros = 10_000;
@@ -73,11 +69,11 @@
 pub(crate) const SLOW_START_UTILIZATION: f64 = 0.65;
 /// Above this, each proxy sees few requests, and all act on one report before the next shows the effect.
 pub(crate) const LARGE_FLEET_PROXIES: u32 = 16;
-/// Service time that discovery is given per proxy when all proxies call at once.
-const LIST_CALL_US: Micros = 20_000;
-/// Longest delay before a list call. A silent watch takes 2.5 s to detect, then the call waits for its place
-/// in discovery's queue, and updates must be obeyed after 6 s.
-const MAX_LIST_CALL_DELAY_US: Micros = 2_000_000;
+/// Bound of the subscribe delay, per proxy: the time given to discovery to serve a call if all call at once.
+const SUBSCRIBE_DELAY_PER_PROXY_US: Micros = 20_000;
+/// Longest delay before a subscribe call. A silent watch takes 2.5 s to detect, then the call waits for its
+/// place in discovery's queue, and updates must be obeyed after 6 s.
+const MAX_SUBSCRIBE_DELAY_US: Micros = 2_000_000;
 /// A setup's wait divided by this counts as a message delay, as the work and pauses of a setup vary.
 const SETUP_WAIT_DIVISOR: u64 = 2;
 /// A connection with a message unanswered this long is moved: no message is worth a longer wait.
@@ -86,8 +82,8 @@
 const REPORT_AGE_US: Micros = 3_000_000;
 /// Interval between batches of moves off backends out of service.
 const MOVE_PERIOD_US: Micros = 100_000;
-/// A proxy of a large fleet has one or two clients there: its first batch gets a random delay up to this.
-const MOVE_DELAY_US: Micros = 1_000_000;
+/// Random delay of a large fleet's first batch: proxies with one or two clients each would move in step.
+const MOVE_JITTER_US: Micros = 1_000_000;
 /// A batch is the queue divided by this, rounded up: most clients move within 2 s, and not all at once.
 const MOVE_BATCH_DIVISOR: usize = 20;
 
@@ -100,8 +96,11 @@
         // Requests of an undescribed class are never repeated.
         let unknown_class = Class { deadline: longest_deadline, effect: Effect::Once, ..default_class };
         let min_retries = f64::from(settings.max_attempts);
-        let budget =
-            settings.budget.unwrap_or(RetryBudget { min_retries, ratio: RETRY_RATIO, window: RETRY_SPAN_US });
+        let budget = settings.budget.unwrap_or(RetryBudget {
+            min_retries,
+            ratio: DEFAULT_RETRY_RATIO,
+            window: DEFAULT_RETRY_WINDOW_US,
+        });
         let mut balancer = Balancer::empty(settings, unknown_class, budget, seed);
         // A tick lasts as long as the slowest attempt: each attempt has ended by the end of the next tick.
         balancer.admission.tick = longest_deadline.clamp(1_000_000, 10_000_000);
@@ -167,7 +166,7 @@
             Event::Measured(id, Measurement::Load(load)) => {
                 if let Some(i) = self.update_connection_load(id, load).filter(|_| self.has_load_reports(now))
                 {
-                    self.shed_excess(now, i, MAX_TARGET, out);
+                    self.shed_excess(now, i, MAX_LOAD, out);
                 }
             }
             Event::Measured(id, Measurement::Delay(delay)) => {
@@ -191,7 +190,7 @@
 
     /// Applies an endpoint update. A backend that a snapshot leaves out is gone.
     fn on_members(&mut self, now: Micros, kind: ListKind, members: &[Member], out: &mut Vec<Action>) {
-        self.failed_list_calls = 0;
+        self.subscribe_calls_since_update = 0;
         if kind == ListKind::Full {
             self.backends.iter_mut().for_each(|b| b.member.state = MemberState::Gone);
         }
@@ -202,8 +201,8 @@
             self.backends[i].unverified |= i >= verified_count;
         }
         self.listed_at = Some(now);
-        // Where a withdrawal need not be obeyed, the backend is verified by a trial, unless it serves us.
-        for i in self.update_withdrawn(now) {
+        // Where a removal need not be obeyed, the backend is verified by a trial, unless it serves us.
+        for i in self.update_not_ready(now) {
             self.backends[i].unverified |= self.backends[i].established.is_empty();
         }
         (0..self.backends.len()).for_each(|i| self.schedule_moves(i, out));
@@ -218,7 +217,7 @@
     /// Special case "leaving": guards against a backend that stops under its clients. Each is moved once.
     fn schedule_moves(&mut self, i: usize, out: &mut Vec<Action>) {
         if self.excluded(i) && self.queue_moves(i) {
-            let delay = if self.is_large_fleet() { self.rng.u64(0..=MOVE_DELAY_US) } else { MOVE_PERIOD_US };
+            let delay = if self.is_large_fleet() { self.rng.u64(0..=MOVE_JITTER_US) } else { MOVE_PERIOD_US };
             out.push(Action::Timer(delay, TIMER_MOVES));
         }
     }
@@ -253,9 +252,10 @@
         if !self.settings.ask_for_list || std::mem::replace(&mut self.subscribe_scheduled, true) {
             return;
         }
-        let first_bound = (LIST_CALL_US * u64::from(self.settings.proxies)).min(self.settings.ask_within / 4);
-        let bound = (first_bound << self.failed_list_calls.min(4)).min(MAX_LIST_CALL_DELAY_US);
-        self.failed_list_calls += 1;
+        let first_bound = (SUBSCRIBE_DELAY_PER_PROXY_US * u64::from(self.settings.proxies))
+            .min(self.settings.ask_within / 4);
+        let bound = (first_bound << self.subscribe_calls_since_update.min(4)).min(MAX_SUBSCRIBE_DELAY_US);
+        self.subscribe_calls_since_update += 1;
         out.push(Action::Timer(self.rng.u64(0..=bound), TIMER_SUBSCRIBE));
     }
 
@@ -377,7 +377,7 @@
         let Some((mut state, i, sent_at, until)) = self.end_attempt(now, result) else { return };
         if state.established {
             if result.status == Status::Reset {
-                self.lower_load_limit(i, now);
+                self.mark_slow(i, now);
                 // A process that dies loses all connections of this proxy. An unreachable one does not.
                 self.backends[i].all_connections_lost |= self.backends[i].established.is_empty();
             }
@@ -423,8 +423,8 @@
         }
     }
 
-    /// Retry budget, counted as the rule counts, however attempts ended: guards against retries that multiply
-    /// a wide failure. Harm: where few requests come, none of them is retried more than a few times.
+    /// Whether the retry budget allows one more retry. All in its window count, except `NotSent` ones.
+    /// Guards against retries that multiply a wide failure. Harm: few retries where few requests arrive.
     fn may_retry(&mut self, now: Micros) -> bool {
         self.trim_retry_window(now);
         let allowed = self.budget.min_retries + self.budget.ratio * self.accepted.len() as f64;
@@ -438,9 +438,9 @@
         let (first, second) = self.table.pair(hash).ok_or(Micros::MAX)?;
         // Special case "reconnect": guards against a loop over a backend that sheds or is slow, unseen by us.
         let may_skip = state.request.reconnecting && !self.observed_healthy(first, now);
-        let skip_share = if self.is_large_fleet() { LARGE_FLEET_SKIP_SHARE } else { SKIP_SHARE };
+        let chance = if self.is_large_fleet() { LARGE_FLEET_SKIP_PROBABILITY } else { SKIP_PROBABILITY };
         let skipped =
-            (0..EXTRA_TABLE_ENTRIES as usize).take_while(|_| may_skip && self.rng.f64() < skip_share).count();
+            (0..EXTRA_TABLE_ENTRIES as usize).take_while(|_| may_skip && self.rng.f64() < chance).count();
         let second_is_better =
             !state.request.mid_flow && self.placement_load(second, now) < self.placement_load(first, now);
         let pair = if second_is_better { [second, first] } else { [first, second] };
@@ -459,7 +459,7 @@
         if self.settings.load_report.is_some() {
             let at_capacity = |i: usize, load: f64| {
                 let load_after = load + self.request_load(state) / self.current_capacity(i, now);
-                load >= 1.0 || has_reports && (load_after >= MAX_TARGET || self.backends[i].slow_until > now)
+                load >= 1.0 || has_reports && (load_after >= MAX_LOAD || self.backends[i].slow_until > now)
             };
             let load = |i: &usize| self.fresh_load(*i, now, EVALUATION_INTERVAL_US, has_reports);
             let rank = |i: &usize| match load(i) {
@@ -473,7 +473,7 @@
             let Some(best) = usable.first().copied().or_else(fallback) else { return Err(earliest()) };
             let open = &usable[..usable.partition_point(|i| rank(i) < 3)];
             // Special case "headroom": guards against a herd on one report. A request that draws none waits.
-            let target_load = if has_reports { MAX_TARGET } else { 1.0 };
+            let target_load = if has_reports { MAX_LOAD } else { 1.0 };
             let headroom = |i: &usize| load(i).map(|load| (target_load - load).max(0.0) * self.weight(*i));
             let drawn = self
                 .is_large_fleet()
@@ -582,24 +582,23 @@
         }
     }
 
-    /// Handles a reported message delay. A backend that is not slow takes new connections at once.
-    /// Special case "shed": guards against clients that wait for a backlog.
-    /// Each proxy moves its share of the excess load.
+    /// Handles a reported message delay. A backend that is not slow takes new connections at once. Special
+    /// case "shed": guards against clients that wait for a backlog. Each proxy moves its share of the excess.
     fn on_delay_report(&mut self, now: Micros, i: usize, delay: Micros, out: &mut Vec<Action>) {
         if delay as f64 <= SLOW_MESSAGE_SHARE * self.message_target {
             return self.backends[i].slow_until = now;
         }
-        self.lower_load_limit(i, now);
-        if now >= self.backends[i].shed_until {
-            self.backends[i].shed_until = now + SHED_INTERVAL_US;
-            self.shed_excess(now, i, (1.0 - delay as f64 / DRAIN_TIME_US).clamp(MIN_TARGET, MAX_TARGET), out);
+        self.mark_slow(i, now);
+        if now >= self.backends[i].next_shed_at {
+            self.backends[i].next_shed_at = now + SHED_INTERVAL_US;
+            self.shed_excess(now, i, (1.0 - delay as f64 / DRAIN_TIME_US).clamp(MIN_LOAD, MAX_LOAD), out);
         }
     }
 
-    /// Moves away the share that this proxy has in the load over `goal`, the heaviest connections first.
-    fn shed_excess(&mut self, now: Micros, i: usize, goal: f64, out: &mut Vec<Action>) {
-        let Some(load) = self.fresh_load(i, now, REPORT_AGE_US, true).filter(|&l| l > goal) else { return };
-        let mut excess = self.estimate_load(&self.backends[i].own_load) * (1.0 - goal / load);
+    /// Moves away the share that this proxy has in the load over `cap`, the heaviest connections first.
+    fn shed_excess(&mut self, now: Micros, i: usize, cap: f64, out: &mut Vec<Action>) {
+        let Some(load) = self.fresh_load(i, now, REPORT_AGE_US, true).filter(|&l| l > cap) else { return };
+        let mut excess = self.estimate_load(&self.backends[i].own_load) * (1.0 - cap / load);
         for (load, id) in self.heaviest_first(i) {
             if load <= 2.0 * excess || self.rng.f64() * load < excess {
                 out.push(Action::Move(id));
@@ -635,8 +634,7 @@
         slow_count - slow_count.sqrt() > self.backends_in_use.len() as f64 / 2.0
     }
 
-    /// Whether the attempt in progress may still be written: an endpoint update, maintenance or the time may
-    /// have barred it while it connected.
+    /// Whether the connected attempt may still be sent: an endpoint update, maintenance or time may bar it.
     pub fn may_send_attempt(&self, now: Micros, id: RequestId) -> bool {
         let state = self.requests.get(&id).filter(|state| !state.answered);
         let attempt = state.and_then(|state| Some((state, state.current_attempt?)));
@@ -679,7 +677,7 @@
         if slowness <= 1.0 {
             return;
         }
-        self.lower_load_limit(i, now);
+        self.mark_slow(i, now);
         // Guards against a storm of moves: few connections make few moves. Load limits hold the moved back.
         let limit = if self.mostly_slow(now) { MAX_MOVE_FACTOR_MOSTLY_SLOW } else { f64::INFINITY };
         if self.rng.f64() < f64::from(self.backends[i].own_load.open) * MOVE_SHARE * slowness.min(limit) {
@@ -690,7 +688,8 @@
         }
     }
 
-    fn lower_load_limit(&mut self, i: usize, now: Micros) {
+    /// Marks a backend slow, and lowers its load limit at most once per `EVALUATION_INTERVAL_US`.
+    fn mark_slow(&mut self, i: usize, now: Micros) {
         self.backends[i].slow_until = now + DELAY_MEASUREMENT_LIFETIME_US;
         self.slow_backends.insert(i);
         if self.backends[i].load_limit_cut_at + EVALUATION_INTERVAL_US <= now {
@@ -718,8 +717,8 @@
     }
 
     /// Special case "slow-start slots": guards against many proxies overrunning a backend in slow start. Each
-    /// opens there at random, whatever the key, so rarely that all in step stay within its overload multiple.
-    /// Harm: groups scatter.
+    /// proxy opens connections there at random, whatever the key, and so rarely that the backend stays within
+    /// its overload multiple if all proxies open theirs at once. Harm: groups scatter.
     fn pick_slow_start_backend(&mut self, now: Micros, state: &RequestState) -> Option<usize> {
         let in_slow_start: Vec<usize> =
             self.is_large_fleet().then(|| self.in_slow_start(now)).into_iter().flatten().collect();
@@ -738,7 +737,7 @@
         (self.rng.f64() < probability).then_some(i)
     }
 
-    /// Guards against backends that fail on and off and look empty: failures decay slowly, and in part.
+    /// Whether a backend failed lately. Failures decay slowly: a flapping backend stays suspect, though idle.
     pub(crate) fn is_suspect(&self, i: usize, now: Micros) -> bool {
         self.backends[i].failures(now, FAILURE_HALF_LIFE_SECONDS) >= SUSPECT_FAILURES
     }
@@ -759,13 +758,14 @@
             backend.restart_observed = true;
         }
         let failures = backend.failures(now, FAILURE_HALF_LIFE_SECONDS) * FAILURE_SHARE_AFTER_SUCCESS;
-        (backend.failures, backend.failed_at) = (failures, now);
+        (backend.failures, backend.failures_at) = (failures, now);
         (backend.unverified, backend.verification_probes) = (false, 0);
     }
 
     fn record_failure(&mut self, i: usize, now: Micros) {
         let backend = &mut self.backends[i];
-        (backend.failures, backend.failed_at) = (backend.failures(now, FAILURE_HALF_LIFE_SECONDS) + 1.0, now);
+        (backend.failures, backend.failures_at) =
+            (backend.failures(now, FAILURE_HALF_LIFE_SECONDS) + 1.0, now);
         self.postpone_trial(i, now);
     }
 }
--- a/crates/decision/src/state.rs
+++ b/crates/decision/src/state.rs
@@ -16,9 +16,9 @@
 pub(crate) const TIMER_MOVES: u64 = 3;
 pub(crate) const TIMER_PROBES: u64 = 4;
 
-/// Where the removal of a backend need not be obeyed, a withdrawn backend that does not answer stays in the
-/// table this long.
-const WITHDRAWN_RETENTION_US: Micros = 30_000_000;
+/// Where the removal of a backend need not be obeyed, a backend that is not ready and does not answer stays
+/// in the table this long.
+const NOT_READY_RETENTION_US: Micros = 30_000_000;
 /// The table is rebuilt when a weight changes by more than this factor. Late weights vary by less.
 const WEIGHT_CHANGE_FACTOR: f64 = 1.1;
 
@@ -26,9 +26,9 @@
 /// slow start by at most this: a third to a half of its capacity in a slow start of nine seconds. That is
 /// within what [`crate::logic::SLOW_START_UTILIZATION`] leaves.
 const MAX_START_REPORT_DELAY_US: Micros = 2_000_000;
-/// Share of the slow-start budget that is used where tokens are saved: what one window leaves and what the
-/// next adds may be spent in one.
-const TOKEN_BUCKET_SHARE: f64 = 0.5;
+/// Share of the slow-start budget that is issued as tokens per window at most. Tokens saved in one window may
+/// be spent together with those of the next, so only half of the budget is issued.
+const TOKEN_BUDGET_SHARE: f64 = 0.5;
 
 /// State of one backend.
 pub(crate) struct Backend {
@@ -53,12 +53,13 @@
     pub report: Option<(Micros, Option<f64>)>,
     /// Own load when that result came.
     pub load_at_report: f64,
-    /// Until when reports describe a time before the last shedding there; 0 before any.
-    pub shed_until: Micros,
-    /// Decaying number of failures, as of `failed_at`.
+    /// No load is shed for a reported delay before this time, as reports do not show the last shedding yet; 0
+    /// before any.
+    pub next_shed_at: Micros,
+    /// Decaying number of failures, as of `failures_at`.
     pub failures: f64,
-    /// When `failures` last changed; 0 for never.
-    pub failed_at: Micros,
+    /// Time for which `failures` holds; 0 before any change.
+    pub failures_at: Micros,
     /// Earliest time of the next trial while it is suspect or unverified; 0 before any attempt.
     pub trial_at: Micros,
     /// Known or withdrawn only by the endpoints: nothing of this proxy was answered there since.
@@ -77,8 +78,9 @@
     pub planned_start: bool,
     /// Shortest setup time there, taken as that of a setup without waiting; `Micros::MAX` before any.
     pub min_setup_latency: Micros,
-    /// When the endpoints withdrew it; `Micros::MAX` while it is ready.
-    pub withdrawn_at: Micros,
+    /// Since when it is not ready (draining, removed or in maintenance), as of the last update; `Micros::MAX`
+    /// while it is ready.
+    pub not_ready_since: Micros,
     /// All connections of this proxy there broke, and none was established since.
     pub all_connections_lost: bool,
     /// When its process started, as reported or observed, by the clock of this proxy; 0 for long ago.
@@ -105,9 +107,9 @@
             probed_at: 0,
             report: None,
             load_at_report: 0.0,
-            shed_until: 0,
+            next_shed_at: 0,
             failures: 0.0,
-            failed_at: 0,
+            failures_at: 0,
             trial_at: 0,
             unverified: false,
             verification_probes: 0,
@@ -117,7 +119,7 @@
             returned_to_service: false,
             planned_start: false,
             min_setup_latency: Micros::MAX,
-            withdrawn_at: Micros::MAX,
+            not_ready_since: Micros::MAX,
             all_connections_lost: false,
             started: 0,
             restart_observed: false,
@@ -136,7 +138,7 @@
         if self.failures == 0.0 {
             return 0.0;
         }
-        self.failures * (-(now.saturating_sub(self.failed_at) as f64) / 1e6 / half_life).exp2()
+        self.failures * (-(now.saturating_sub(self.failures_at) as f64) / 1e6 / half_life).exp2()
     }
 
     /// Records the start of its process. No slow-start tokens are saved yet.
@@ -298,8 +300,8 @@
     pub(crate) listed_at: Option<Micros>,
     /// Limit on setups while they fail at all kinds of backends.
     pub(crate) setup_limit: SetupLimit,
-    /// List calls scheduled in a row without an endpoint update since.
-    pub(crate) failed_list_calls: u32,
+    /// Subscribe calls scheduled since the last endpoint update.
+    pub(crate) subscribe_calls_since_update: u32,
     /// The process is about to end: no attempt is started any more.
     pub(crate) stopping: bool,
 }
@@ -368,13 +370,13 @@
         }
     }
 
-    /// The load that a backend reported no longer than `age` ago, as a share of its capacity. With `since`,
-    /// plus the change of the own load since that report. `None` without such a report.
-    pub(crate) fn fresh_load(&self, i: usize, now: Micros, age: Micros, since: bool) -> Option<f64> {
+    /// The load that a backend reported less than `age` ago, as a share of its capacity. `add_own_change`
+    /// adds the change of this proxy's load there since that report. `None` without such a report.
+    pub(crate) fn fresh_load(&self, i: usize, now: Micros, age: Micros, add_own_change: bool) -> Option<f64> {
         let backend = &self.backends[i];
         let added =
             (self.estimate_load(&backend.own_load) - backend.load_at_report) / self.current_capacity(i, now);
-        Some(backend.report(now, age)?? + if since { added } else { 0.0 })
+        Some(backend.report(now, age)?? + if add_own_change { added } else { 0.0 })
     }
 
     /// Adds an established connection at a backend, or removes it.
@@ -449,7 +451,7 @@
     /// bound, as many clients come back after a crash, while few backends are listed. After a planned start
     /// the whole bound is allowed. A backend back from a crash may have changed.
     pub(crate) fn slow_start_refill(&self, i: usize, share: f64, observed: f64) -> f64 {
-        let bound = self.slow_start_quota(self.weight(i), TOKEN_BUCKET_SHARE) * share;
+        let bound = self.slow_start_quota(self.weight(i), TOKEN_BUDGET_SHARE) * share;
         match (self.settings.sized_weights, self.backends[i].planned_start) {
             (false, _) => observed,
             (true, true) => bound,
@@ -490,18 +492,18 @@
         Some(i)
     }
 
-    /// Records when backends were withdrawn. Returns those that are withdrawn since this update.
-    pub(crate) fn update_withdrawn(&mut self, now: Micros) -> Vec<usize> {
-        let mut withdrawn = Vec::new();
+    /// Updates since when backends are not ready. Returns those that are not ready since this update.
+    pub(crate) fn update_not_ready(&mut self, now: Micros) -> Vec<usize> {
+        let mut newly_not_ready = Vec::new();
         for (i, backend) in self.backends.iter_mut().enumerate() {
             if backend.ready() {
-                backend.withdrawn_at = Micros::MAX;
-            } else if backend.withdrawn_at == Micros::MAX {
-                backend.withdrawn_at = now;
-                withdrawn.push(i);
+                backend.not_ready_since = Micros::MAX;
+            } else if backend.not_ready_since == Micros::MAX {
+                backend.not_ready_since = now;
+                newly_not_ready.push(i);
             }
         }
-        withdrawn
+        newly_not_ready
     }
 
     /// Queues the established connections of a backend for a move, once each. Returns whether this starts the
@@ -610,12 +612,12 @@
         self.requests.get(&id).and_then(|state| state.load)
     }
 
-    /// Whether a backend has table entries: if it is ready, or if its removal need not be obeyed. A withdrawn
-    /// backend that is unverified has them only for a while.
+    /// Whether a backend has table entries: if it is ready, or if its removal need not be obeyed. A backend
+    /// that is neither ready nor verified has them only for a while.
     pub(crate) fn in_table(&self, i: usize, now: Micros) -> bool {
         let backend = &self.backends[i];
         let may_serve =
-            !backend.unverified || now < backend.withdrawn_at.saturating_add(WITHDRAWN_RETENTION_US);
+            !backend.unverified || now < backend.not_ready_since.saturating_add(NOT_READY_RETENTION_US);
         backend.ready() || !self.settings.exclude_removed && !backend.drained && may_serve
     }
 
@@ -763,7 +765,7 @@
             freshness: EndpointsFreshness::default(),
             listed_at: None,
             setup_limit: SetupLimit::new(seed, is_large_fleet),
-            failed_list_calls: 0,
+            subscribe_calls_since_update: 0,
             stopping: false,
         }
     }
--- a/crates/decision/tests/rules.rs
+++ b/crates/decision/tests/rules.rs
@@ -284,7 +284,7 @@
 /// Guards against an attempt that is sent although, while it connected, its backend began to drain or went
 /// into maintenance, its time ran out, its repeat window ended, or its client left.
 #[test]
-fn an_attempt_may_be_sent_only_while_the_reasons_for_its_backend_hold() {
+fn an_attempt_may_not_be_sent_once_its_backend_is_excluded_or_its_time_or_client_is_gone() {
     let mut settings = settings();
     settings.classes[0].effect = Effect::Keyed(KeyScope::All);
     settings.classes[0].repeat_window = 900 * MS;
