--- a/crates/wire/src/bin/pierloom-adapter.rs
+++ b/crates/wire/src/bin/pierloom-adapter.rs
@@ -19,7 +19,7 @@
 
 /// An immutable endpoint list that a message `PAGE` defined.
 #[derive(Clone, Default)]
-struct Page {
+struct EndpointList {
     /// Its entries as received.
     lines: Rc<Vec<String>>,
     /// Its members, parsed for the instances whose settings have these names.
@@ -29,20 +29,20 @@
 /// All instances and the state of the protocol.
 #[derive(Default)]
 struct InstanceHost {
-    /// Time of the current batch; microseconds.
+    /// Time of the current batch.
     now: u64,
     /// Instance that the last `CONTEXT` of the batch selected.
     current: Option<u64>,
     instances: BTreeMap<u64, Instance>,
-    pages: BTreeMap<usize, Page>,
+    lists: BTreeMap<usize, EndpointList>,
     /// The `PAGE` being read: its number, its expected number of entries and the entries so far.
-    incomplete_page: Option<(usize, usize, Vec<String>)>,
+    incomplete_list: Option<(usize, usize, Vec<String>)>,
     /// Actions of the current batch by instance.
     actions: BTreeMap<u64, Vec<Action>>,
     in_batch: bool,
 }
 
-impl Page {
+impl EndpointList {
     /// The members of the list for settings with these names.
     fn members(&mut self, names: &NameIndex) -> Result<Arc<[Member]>, ParseError> {
         if let Some((_, members)) = self.parsed.as_ref().filter(|(cached_names, _)| cached_names == names) {
@@ -55,9 +55,10 @@
 }
 
 impl InstanceHost {
-    /// The instance that the message concerns.
-    fn current_instance(&self, message: &str) -> Result<u64, ParseError> {
-        self.current.ok_or_else(|| format!("{message}: no CONTEXT before it"))
+    /// Returns the id of the instance that the last `CONTEXT` selected. Without one, the error text
+    /// begins with `context`.
+    fn current_instance(&self, context: &str) -> Result<u64, ParseError> {
+        self.current.ok_or_else(|| format!("{context}: no CONTEXT before it"))
     }
 
     /// Delivers an event to the current instance.
@@ -72,15 +73,15 @@
     /// Handles one line; true at the end of a batch, when a reply is due.
     fn handle_line(&mut self, text: &str) -> Result<bool, ParseError> {
         let line = wire::parse_line(text)?;
-        if let Some((list, expected, mut lines)) = self.incomplete_page.take() {
-            let Line::Entry(entry) = line else {
+        if let Some((list, expected, mut lines)) = self.incomplete_list.take() {
+            let Line::ListEntry(entry) = line else {
                 return Err(format!("PAGE: list {list} has fewer than {expected} items"));
             };
             lines.push(entry);
             if lines.len() < expected {
-                self.incomplete_page = Some((list, expected, lines));
+                self.incomplete_list = Some((list, expected, lines));
             } else {
-                self.pages.insert(list, Page { lines: Rc::new(lines), parsed: None });
+                self.lists.insert(list, EndpointList { lines: Rc::new(lines), parsed: None });
             }
             return Ok(false);
         }
@@ -103,20 +104,20 @@
                 self.actions.remove(&instance_id);
                 self.instances.insert(instance_id, Instance { balancer, names });
             }
-            Line::Page(list, 0) => {
-                self.pages.insert(list, Page::default());
+            Line::ListStart(list, 0) => {
+                self.lists.insert(list, EndpointList::default());
             }
-            Line::Page(list, expected) => self.incomplete_page = Some((list, expected, Vec::new())),
-            Line::Entry(_) => return Err("M: no PAGE before it".to_string()),
-            Line::Roster(kind, page) => {
+            Line::ListStart(list, expected) => self.incomplete_list = Some((list, expected, Vec::new())),
+            Line::ListEntry(_) => return Err("M: no PAGE before it".to_string()),
+            Line::ListChange(kind, list_number) => {
                 let instance_id = self.current_instance("ROSTER_CHANGE")?;
                 let names = self.instances.get(&instance_id).map(|i| &i.names);
                 let names = names.ok_or("ROSTER_CHANGE: no INIT before it")?;
-                let members = match page {
+                let members = match list_number {
                     None => Arc::default(),
-                    Some(page) => match self.pages.get_mut(&page) {
-                        Some(page) => page.members(names)?,
-                        None => return Err(format!("ROSTER_CHANGE: field list: unknown {page}")),
+                    Some(number) => match self.lists.get_mut(&number) {
+                        Some(endpoint_list) => endpoint_list.members(names)?,
+                        None => return Err(format!("ROSTER_CHANGE: field list: unknown {number}")),
                     },
                 };
                 self.deliver("ROSTER_CHANGE", Event::Members { kind, members })?;
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,5 +1,5 @@
-//! Strict parser and writer of the bench's line protocol. Each line is one message: a name and fields,
-//! separated by single spaces. Nothing here decides.
+//! Parses and writes the bench's line protocol, and parses settings from JSON. Each line is one message: a
+//! name and fields, separated by single spaces. Malformed lines are errors; unknown settings are ignored.
 
 use pierloom_decision::*;
 use serde::Deserialize;
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Describes what is wrong with a message or with settings, in one line of text.
+/// Error text, one line: what is wrong with a message, with settings or with a standard stream.
 pub type ParseError = String;
 
 /// One line of a batch.
@@ -23,11 +23,11 @@
     /// `INIT`: the instance starts with this seed and these settings (JSON).
     Init(u64, String),
     /// `PAGE`: number of an endpoint list and number of entries that follow.
-    Page(usize, usize),
+    ListStart(usize, usize),
     /// `M`: the whole line of one entry of an endpoint list.
-    Entry(String),
-    /// `ROSTER_CHANGE`: what it reports and the number of the endpoint list, if it has one.
-    Roster(ListKind, Option<usize>),
+    ListEntry(String),
+    /// `ROSTER_CHANGE`: the kind of report, and the number of its endpoint list; `None` after a failed call.
+    ListChange(ListKind, Option<usize>),
     /// `SHUTDOWN`: the instance ends.
     Shutdown,
     /// The whole line of an event that [`parse_event`] reads with the names of the instance.
@@ -36,20 +36,22 @@
 
 /// Highest number of an endpoint list that `PAGE` may define.
 const MAX_LIST_NUMBER: u64 = 15;
-/// Bits of the field `state-bits`: the load hint is valid, packets of an established connection arrive, the
-/// client reconnects.
-const STATE_LOAD_HINT: u64 = 1;
-const STATE_MID_FLOW: u64 = 8;
-const STATE_RECONNECTING: u64 = 16;
-/// Topics of `NOTE`: the connection's load in microseconds of work per second, and a message's delay in
-/// milliseconds.
+/// Bit of the field `state-bits`: the load hint is valid.
+const STATE_BIT_LOAD_HINT: u64 = 1;
+/// Bit of the field `state-bits`: packets of an established connection arrive.
+const STATE_BIT_MID_FLOW: u64 = 8;
+/// Bit of the field `state-bits`: the client reconnects.
+const STATE_BIT_RECONNECTING: u64 = 16;
+/// Topic of `NOTE`: the connection's load, in microseconds of work per second.
 const TOPIC_LOAD: u64 = 1;
+/// Topic of `NOTE`: a message's delay, in milliseconds.
 const TOPIC_DELAY: u64 = 2;
 
 /// Window of a retry budget whose settings state none.
 const DEFAULT_RETRY_WINDOW_US: Micros = 5_000_000;
 
-/// Maps the names of classes and zones in one instance's settings to indexes.
+/// Names that the settings of one instance define: classes and zones with their indexes, and the columns of
+/// probe reports. Also holds warnings about the settings.
 #[derive(Debug, Default, Clone, PartialEq)]
 pub struct NameIndex {
     classes: BTreeMap<String, usize>,
@@ -77,17 +79,18 @@
         self.zones.get(name).copied().unwrap_or(u16::MAX)
     }
 
-    /// Names of the values in a load report, in order.
+    /// Names of the values in a probe's report, in order. Setting `feedback.columns`.
     pub fn report_columns(&self) -> &[String] {
         &self.report_columns
     }
 }
 
-/// Stable hash of a key or a group; `None` if it is absent (`-`).
+/// Stable hash of the text of a key or group; `None` for `-`, which stands for an absent one.
 pub fn key_hash(text: &str) -> Option<u64> {
     (text != "-").then(|| xxh3_64(text.as_bytes()))
 }
 
+/// One object of the setting `classes`. Times are in seconds.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 struct WireClass {
@@ -102,6 +105,7 @@
     window: f64,
 }
 
+/// The setting `bounds`. Times are in seconds.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
 struct WireBounds {
@@ -112,12 +116,14 @@
     may_probe: bool,
 }
 
+/// The setting `feedback`: what a probe's report contains.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
 struct WireFeedback {
     columns: Vec<String>,
 }
 
+/// The setting `contract`. Times (`ask-within`, `cold`, `fall`, `ratio-span`) are in seconds.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
 struct WireContract {
@@ -132,7 +138,7 @@
     removal_not_binding: bool,
 }
 
-/// Weights of parts of the result. They are checked, but no decision uses them.
+/// The setting `goal`: how the bench scores a run. The values are checked but not used.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
 struct WireGoal {
@@ -140,6 +146,7 @@
     top_nines: f64,
 }
 
+/// The setting `family-info`. `message-aim` holds a time in seconds per class, in the order of `classes`.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
 struct WireFamilyInfo {
@@ -147,12 +154,15 @@
     message_aim: Vec<Option<f64>>,
 }
 
+/// The setting `penalties`. A price is a share of the result, 0 to 1.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
 struct WirePenalties {
     cross_zone: f64,
 }
 
+/// The whole JSON object of the settings: the text of `INIT`, or `settings` in a proxy's config file. All
+/// times in it are in seconds.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 struct WireSettings {
@@ -188,19 +198,21 @@
 const MAX_PROXIES: u32 = 100_000;
 
 /// The number of proxies, and a warning if the stated one is invalid.
-fn proxy_count(stated: &serde_json::Value) -> (u32, Option<String>) {
-    let count = stated.as_u64().and_then(|n| u32::try_from(n).ok()).filter(|n| (1..=MAX_PROXIES).contains(n));
-    let shown: String = stated.to_string().chars().take(40).collect();
-    let shown = if stated.is_null() { "not stated".to_string() } else { shown };
+fn proxy_count(value: &serde_json::Value) -> (u32, Option<String>) {
+    let count = value.as_u64().and_then(|n| u32::try_from(n).ok()).filter(|n| (1..=MAX_PROXIES).contains(n));
+    let json_text: String = value.to_string().chars().take(40).collect();
+    let stated = if value.is_null() { "not stated".to_string() } else { json_text };
     let warning =
-        || format!("settings: balancers is {shown}, not 1 to {MAX_PROXIES}: {DEFAULT_PROXIES} are assumed");
+        || format!("settings: balancers is {stated}, not 1 to {MAX_PROXIES}: {DEFAULT_PROXIES} are assumed");
     (count.unwrap_or(DEFAULT_PROXIES), count.is_none().then(warning))
 }
 
-/// Longer times, of more than thirty years, count as this long, so that sums of times stay in range.
+/// Maximum time that is read, about thirty years: longer ones are capped, so that sums do not overflow.
 const MAX_TIME_SECONDS: f64 = 1e9;
 
-fn micros(seconds: f64) -> Micros {
+/// Converts seconds to microseconds. Negative times become 0, and long ones are capped at
+/// [`MAX_TIME_SECONDS`].
+fn micros_from_seconds(seconds: f64) -> Micros {
     (seconds.clamp(0.0, MAX_TIME_SECONDS) * 1e6).round() as Micros
 }
 
@@ -250,7 +262,7 @@
     let mut classes = Vec::new();
     for (i, class) in wire.classes.iter().enumerate() {
         names.classes.insert(class.name.clone(), i);
-        let group = match class.group.as_deref() {
+        let key_scope = match class.group.as_deref() {
             None | Some("all") => KeyScope::All,
             Some("zone") => KeyScope::Zone,
             Some("cell") => KeyScope::Cell,
@@ -258,18 +270,18 @@
         };
         let effect = match class.effect.as_deref() {
             Some("repeatable") => Effect::Repeatable,
-            Some("by_key") => Effect::Keyed(group),
+            Some("by_key") => Effect::Keyed(key_scope),
             // Without a stated effect a request must never run twice, which is the safe assumption.
             None | Some("once") => Effect::Once,
             Some(other) => return Err(format!("INIT settings: classes[].effect {other:?}")),
         };
         let message_target = wire.family_info.message_aim.get(i).copied().flatten().unwrap_or(0.0);
         classes.push(Class {
-            setup_target: micros(class.target),
-            deadline: micros(class.deadline),
-            message_target: micros(message_target),
+            setup_target: micros_from_seconds(class.target),
+            deadline: micros_from_seconds(class.deadline),
+            message_target: micros_from_seconds(message_target),
             effect,
-            repeat_window: micros(class.window),
+            repeat_window: micros_from_seconds(class.window),
         });
     }
     let defaults = Settings::default();
@@ -277,9 +289,10 @@
     let budget = has_budget.then(|| RetryBudget {
         min_retries: contract.extra_free.unwrap_or(0.0),
         ratio: contract.repeat_ratio.unwrap_or(0.0),
-        window: contract.ratio_span.map_or(DEFAULT_RETRY_WINDOW_US, micros),
+        window: contract.ratio_span.map_or(DEFAULT_RETRY_WINDOW_US, micros_from_seconds),
     });
-    let micros_or = |value: Option<f64>, default: Micros| value.map_or(default, micros);
+    let micros_from_seconds_or =
+        |value: Option<f64>, default: Micros| value.map_or(default, micros_from_seconds);
     let column_index =
         |name: &str| wire.feedback.columns.iter().position(|c| c == name).filter(|_| wire.bounds.may_probe);
     let settings = Settings {
@@ -289,11 +302,11 @@
         max_attempts: wire.bounds.max_attempts.unwrap_or(defaults.max_attempts),
         budget,
         exclude_removed: !wire.contract.removal_not_binding,
-        connect_timeout: micros_or(wire.bounds.connect_timeout, defaults.connect_timeout),
+        connect_timeout: micros_from_seconds_or(wire.bounds.connect_timeout, defaults.connect_timeout),
         retry_after: wire.bounds.retry_after,
-        max_retry_after: micros(wire.bounds.max_retry_after),
+        max_retry_after: micros_from_seconds(wire.bounds.max_retry_after),
         ask_for_list: wire.membership_mode == "ask",
-        ask_within: micros_or(wire.contract.ask_within, defaults.ask_within),
+        ask_within: micros_from_seconds_or(wire.contract.ask_within, defaults.ask_within),
         // These limits are part of the proxies' protocol with discovery; the bench's wire does not have them.
         max_endpoints_age: None,
         max_endpoints_age_after_move: 0,
@@ -304,10 +317,10 @@
         load_report: column_index("x0"),
         delay_report: column_index("svc_ms"),
         slow_start_min_share: wire.contract.cold_from.unwrap_or(defaults.slow_start_min_share),
-        slow_start_duration: micros_or(wire.contract.cold, defaults.slow_start_duration),
+        slow_start_duration: micros_from_seconds_or(wire.contract.cold, defaults.slow_start_duration),
         overload_multiple: wire.contract.fall_multiple.unwrap_or(defaults.overload_multiple),
         cross_zone_price: wire.penalties.cross_zone,
-        overload_window: micros_or(wire.contract.fall, defaults.overload_window),
+        overload_window: micros_from_seconds_or(wire.contract.fall, defaults.overload_window),
     };
     settings.check().map_err(|e| format!("INIT {e}"))?;
     Ok((settings, names))
@@ -363,7 +376,7 @@
 
     /// A time in seconds.
     fn time(&mut self, field: &str) -> Result<Micros, ParseError> {
-        self.number(field).map(micros)
+        self.number(field).map(micros_from_seconds)
     }
 
     fn status(&mut self, field: &str) -> Result<Status, ParseError> {
@@ -412,8 +425,8 @@
     }
 }
 
-/// Parses one line of a batch. Entries of endpoint lists and events stay text, as reading them takes the
-/// names of an instance.
+/// Parses one line of a batch. Endpoint entries and events are returned as text, because parsing them needs
+/// the class and zone names of an instance.
 pub fn parse_line(text: &str) -> Result<Line, ParseError> {
     let mut fields = Fields::new(text);
     match fields.message {
@@ -437,9 +450,9 @@
             if list > MAX_LIST_NUMBER {
                 return Err(format!("PAGE: field list has the bad value \"{list}\""));
             }
-            fields.finish(Line::Page(list as usize, entries as usize))
+            fields.finish(Line::ListStart(list as usize, entries as usize))
         }
-        "M" => Ok(Line::Entry(text.to_string())),
+        "M" => Ok(Line::ListEntry(text.to_string())),
         "ROSTER_CHANGE" => {
             fields.integer("stamp")?;
             let list = fields.text("list")?;
@@ -450,11 +463,11 @@
                 "failed" => ListKind::Failed,
                 _ => return Err(fields.invalid_value("mode", mode)),
             };
-            let page = match kind {
+            let list_number = match kind {
                 ListKind::Failed | ListKind::Unreachable | ListKind::DiscoveryMoved => None,
                 _ => Some(list.parse().map_err(|_| fields.invalid_value("list", list))?),
             };
-            fields.finish(Line::Roster(kind, page))
+            fields.finish(Line::ListChange(kind, list_number))
         }
         "SHUTDOWN" => fields.finish(Line::Shutdown),
         "ACCEPT" | "NOTE" | "OPEN" | "GONE" | "PONG" | "DUE" | "COMPLETED" | "FIRST_BYTE" | "DATAGRAM" => {
@@ -478,7 +491,7 @@
     let zone = fields.text("site")?;
     let cell = fields.optional_number("cell")?.unwrap_or(0.0) as u64;
     let weight = fields.optional_number("power-hint")?.unwrap_or(1.0);
-    let started = fields.optional_number("ready-at")?.map_or(0, micros);
+    let started = fields.optional_number("ready-at")?.map_or(0, micros_from_seconds);
     let backend = fields.text("backend")?.into();
     let zone = names.zone(zone);
     fields.finish(Member { backend, state, zone, cell, weight, started })
@@ -490,7 +503,7 @@
     let class = fields.text("tier-class")?;
     fields.text("tenant")?;
     let item = fields.text("item")?;
-    let deadline = fields.optional_number("client-deadline")?.map_or(0, micros);
+    let deadline = fields.optional_number("client-deadline")?.map_or(0, micros_from_seconds);
     let load_hint = fields.optional_number("weight-hint")?;
     let channel = fields.text("channel")?;
     let bits = fields.text("state-bits")?;
@@ -504,9 +517,9 @@
         key: key_hash(item),
         group: key_hash(channel),
         deadline,
-        load_hint: load_hint.filter(|_| bits & STATE_LOAD_HINT != 0).map(|seconds| seconds * 1e6),
-        mid_flow: bits & STATE_MID_FLOW != 0,
-        reconnecting: bits & STATE_RECONNECTING != 0,
+        load_hint: load_hint.filter(|_| bits & STATE_BIT_LOAD_HINT != 0).map(|seconds| seconds * 1e6),
+        mid_flow: bits & STATE_BIT_MID_FLOW != 0,
+        reconnecting: bits & STATE_BIT_RECONNECTING != 0,
     })
 }
 
@@ -545,7 +558,7 @@
             let level = fields.number("level")?;
             match topic {
                 TOPIC_LOAD => Event::Measured(id, Measurement::Load(level)),
-                TOPIC_DELAY => Event::Measured(id, Measurement::Delay(micros(level / 1e3))),
+                TOPIC_DELAY => Event::Measured(id, Measurement::Delay(micros_from_seconds(level / 1e3))),
                 _ => return fields.finish(None),
             }
         }
@@ -555,6 +568,7 @@
             let status = fields.status("how")?;
             Event::Probed { backend, status, report: fields.numbers("pressure")? }
         }
+        // `DATAGRAM`, the only other event that `parse_line` accepts.
         _ => {
             fields.integer("src")?;
             fields.text("content")?;
--- a/crates/wire/tests/wire.rs
+++ b/crates/wire/tests/wire.rs
@@ -112,7 +112,7 @@
 /// Guards against fields of `M` and `ACCEPT` that are mixed up, and against absent values (`-`) and unknown
 /// classes that are not recognized.
 #[test]
-fn endpoint_entries_and_requests_are_parsed() {
+fn fields_of_entries_and_requests_are_kept_and_absent_ones_are_none() {
     let (_, names) = wire::parse_settings(&settings_json()).unwrap();
     let member = wire::parse_member("M cordoned fast b 4 1.5 6.1 10.0.0.1:7000", &names).unwrap();
     assert_eq!((member.state, member.zone, member.cell), (MemberState::Draining, 1, 4));
@@ -152,7 +152,7 @@
 
 /// Guards against an action whose line the bench cannot read.
 #[test]
-fn actions_are_written_in_wire_format() {
+fn each_action_becomes_the_line_that_the_bench_reads() {
     let backend: BackendId = "10.0.0.1:7000".into();
     let actions = [
         Action::Send { id: 5, backend, until: 8_492_250 },
@@ -176,11 +176,11 @@
     assert!(matches!(wire::parse_line("MARK 8.41225"), Ok(Line::Mark(8_412_250))));
     assert!(matches!(
         wire::parse_line("ROSTER_CHANGE 41 0 cached"),
-        Ok(Line::Roster(ListKind::Full, Some(0)))
+        Ok(Line::ListChange(ListKind::Full, Some(0)))
     ));
     assert!(matches!(
         wire::parse_line("ROSTER_CHANGE 41 - failed"),
-        Ok(Line::Roster(ListKind::Failed, None))
+        Ok(Line::ListChange(ListKind::Failed, None))
     ));
     for bad in ["", "NOISE 1", "MARK", "MARK x", "MARK inf", "MARK 1 2", "CONTEXT -1", "PAGE 16 1"] {
         assert!(wire::parse_line(bad).is_err(), "{bad:?}");
@@ -190,7 +190,7 @@
 /// Guards against an adapter that loses a message between its input and the decision module, or an action on
 /// the way back.
 #[test]
-fn a_complete_exchange_gets_the_expected_replies() {
+fn a_request_after_init_and_a_list_gets_a_timer_and_an_attempt() {
     let input = format!(
         "MARK 1\nEOF_BATCH\nMARK 8\nCONTEXT 3\nINIT 9 {}\nPAGE 0 1\nM healthy fast a 0 1 - 10.0.0.1:7000\n\
          ROSTER_CHANGE 41 0 cached\nACCEPT 5 feed - user:k 9.2 - - 0\nEOF_BATCH\n\
@@ -235,7 +235,7 @@
 }
 
 /// Guards against a proxy that does not start, or divides by zero, because of an invalid number of proxies,
-/// which only tunes its decisions.
+/// although a safe default exists.
 #[test]
 fn an_invalid_number_of_proxies_gets_the_default_and_one_warning() {
     let parse = |stated: &str| wire::parse_settings(&SETTINGS.replace("\"balancers\": 2,", stated)).unwrap();
