--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -1,9 +1,9 @@
 #![forbid(unsafe_code)]
-#![allow(clippy::disallowed_types, clippy::disallowed_methods)] // only this crate may use these
+#![allow(clippy::disallowed_types, clippy::disallowed_methods)] // wraps what the lint disallows in the proxy
 //! The interface between the proxy and the machine it runs on: clock, timers, TCP, signals, files,
-//! environment variables, descriptors, tasks and the handover between processes. [`Host::os`] is the real
-//! machine, on tokio. Another implementation of [`Machine`], such as a simulated machine on a virtual clock,
-//! runs the same network code.
+//! environment variables, descriptors, tasks and the handover between processes. [`Host::os`] is the
+//! implementation by the operating system and tokio. A custom implementation of [`Machine`], such as a
+//! simulation on a virtual clock, runs the same network code.
 //!
 //! Everything in this crate is for one thread: handles are `Rc`s, tasks are local, and nothing is `Send`.
 
@@ -15,7 +15,7 @@
 
 pub use handover::{HandoverChannel, HandoverListener, PassedSocket};
 pub use net::{Interest, ListenerIo, StreamIo, TcpListener, TcpStream};
-pub use task::{Signals, Task, TaskEnd};
+pub use task::{Signals, TaskEnd, TaskHandle};
 
 use std::any::Any;
 use std::future::Future;
@@ -28,7 +28,7 @@
 /// A point in time (Unix time) or a span of time, in microseconds.
 pub type Micros = u64;
 
-/// A boxed future of a machine, for its single thread.
+/// A boxed future that is not `Send`: it stays on the thread that created it.
 pub type Local<'a, T> = Pin<Box<dyn Future<Output = T> + 'a>>;
 
 /// A signal that the process handles.
@@ -40,7 +40,8 @@
     Terminate,
 }
 
-/// What a machine provides to one of its processes.
+/// The system interface that a process runs on. [`Host::os`] implements it by the operating system, and a
+/// custom implementation is passed to [`Host::of`].
 pub trait Machine {
     /// Returns the Unix time in microseconds, on a clock that never steps back.
     fn now(&self) -> Micros;
@@ -53,19 +54,22 @@
     /// Listens on `address`. At most `backlog` connections wait to be accepted. With `reuse_port` other
     /// sockets with the same option may listen on the same address.
     fn listen(&self, address: SocketAddr, backlog: i32, reuse_port: bool) -> io::Result<TcpListener>;
-    /// Handles a signal from now on, in place of its default action.
+    /// Handles a signal from now on, in place of its default action. Returns the stream of its arrivals.
     fn signals(&self, signal: Signal) -> io::Result<Signals>;
     /// Reads a whole file.
     fn read_file(&self, path: &Path) -> io::Result<Vec<u8>>;
     /// Replaces a file atomically: a reader finds all of the new content or all of the old.
+    /// The default implementation returns [`io::ErrorKind::Unsupported`].
     fn write_file(&self, _path: &Path, _bytes: &[u8]) -> io::Result<()> {
         Err(io::ErrorKind::Unsupported.into())
     }
     /// Listens at `path` for the process that takes over, and replaces any earlier listener there.
+    /// The default implementation returns [`io::ErrorKind::Unsupported`].
     fn listen_handover(&self, _path: &Path) -> io::Result<HandoverListener> {
         Err(io::ErrorKind::Unsupported.into())
     }
     /// Connects to the process that listens at `path` for its successor.
+    /// The default implementation returns [`io::ErrorKind::Unsupported`].
     fn connect_handover<'a>(&self, _path: &'a Path) -> Local<'a, io::Result<HandoverChannel>> {
         Box::pin(std::future::ready(Err(io::ErrorKind::Unsupported.into())))
     }
@@ -76,17 +80,18 @@
     fn reserve_descriptor(&self) -> Option<Box<dyn Any>>;
 }
 
-/// A handle to a machine; clones share the machine.
+/// A handle to an implementation of [`Machine`]; clones share that implementation.
 #[derive(Clone)]
 pub struct Host(Rc<dyn Machine>);
 
 impl Host {
-    /// The real machine. Its asynchronous methods must run in a tokio `LocalSet` with I/O and time enabled.
+    /// The operating system. The asynchronous methods must run in a tokio `LocalSet` with I/O and time
+    /// enabled.
     pub fn os() -> Self {
         Host(Rc::new(os::OsMachine::new()))
     }
 
-    /// A machine that the caller provides.
+    /// A custom implementation of [`Machine`].
     pub fn of(machine: impl Machine + 'static) -> Self {
         Host(Rc::new(machine))
     }
@@ -102,7 +107,7 @@
     }
 
     /// Runs a task concurrently with all others. A panic ends that task and no other.
-    pub fn spawn(&self, task: impl Future<Output = ()> + 'static) -> Task {
+    pub fn spawn(&self, task: impl Future<Output = ()> + 'static) -> TaskHandle {
         let (task, handle) = task::catch_panics(task);
         self.0.spawn(Box::pin(task));
         handle
@@ -119,7 +124,7 @@
         self.0.listen(address, backlog, reuse_port)
     }
 
-    /// Handles a signal from now on, in place of its default action.
+    /// Handles a signal from now on, in place of its default action. Returns the stream of its arrivals.
     pub fn signals(&self, signal: Signal) -> io::Result<Signals> {
         self.0.signals(signal)
     }
--- a/crates/host/src/net.rs
+++ b/crates/host/src/net.rs
@@ -1,4 +1,5 @@
-//! TCP on any machine, as the proxy uses it: readiness, partial reads and writes, half-close and reset.
+//! TCP on any implementation of [`Machine`](crate::Machine), as the proxy uses it: readiness, partial
+//! reads and writes, half-close and reset.
 
 use crate::retry::{accept_with_retry, retry_immediately};
 use socket2::SockRef;
@@ -20,7 +21,8 @@
     pub write: bool,
 }
 
-/// A connection of a machine other than the real one. Its errors are those of the corresponding system calls.
+/// A connection of a custom [`Machine`](crate::Machine). Its errors are those of the corresponding system
+/// calls.
 pub trait StreamIo {
     /// Ready when `try_read` would not block.
     fn poll_readable(&self, context: &mut Context<'_>) -> Poll<()>;
@@ -30,13 +32,13 @@
     fn try_read(&self, buffer: &mut [u8]) -> io::Result<usize>;
     /// Writes as many bytes as there is space for.
     fn try_write(&self, bytes: &[u8]) -> io::Result<usize>;
-    /// Closes the sending direction.
+    /// Closes the sending direction, as `shutdown(SHUT_WR)` does.
     fn finish(&self) -> io::Result<()>;
     /// Makes the following close send a reset.
     fn reset_on_close(&self);
 }
 
-/// A listening socket of a machine other than the real one.
+/// A listening socket of a custom [`Machine`](crate::Machine).
 pub trait ListenerIo {
     /// Accepts the next connection; returns it with its remote address.
     fn poll_accept(&self, context: &mut Context<'_>) -> Poll<io::Result<(TcpStream, SocketAddr)>>;
@@ -59,7 +61,7 @@
 }
 
 impl TcpStream {
-    /// Wraps a connection of another machine.
+    /// Wraps a custom connection.
     pub fn from_io(io: impl StreamIo + 'static) -> Self {
         TcpStream(Stream::Simulated(Box::new(io)))
     }
@@ -125,8 +127,8 @@
         }
     }
 
-    /// Sends each write without delay, as other machines always do. A connection on which this fails still
-    /// works, with a higher latency.
+    /// Disables Nagle's algorithm, so that each write is sent without delay. A custom connection never delays
+    /// a write. A connection on which this fails still works, with a higher latency.
     pub fn set_nodelay(&self) {
         if let Stream::Os(stream) = &self.0 {
             // A failure loses no data.
@@ -134,7 +136,8 @@
         }
     }
 
-    /// Closes the sending direction: the peer reads the end of the stream after all data that was written.
+    /// Closes the sending direction (half-close): the peer reads the end of the stream after all
+    /// data that was written.
     pub fn finish(&self) -> io::Result<()> {
         match &self.0 {
             Stream::Os(stream) => retry_immediately(|| SockRef::from(stream).shutdown(Shutdown::Write)),
@@ -230,7 +233,7 @@
         Ok(TcpListener(Listener::Os(listener, address)))
     }
 
-    /// Wraps a listening socket of another machine.
+    /// Wraps a custom listening socket.
     pub fn from_io(io: impl ListenerIo + 'static) -> Self {
         TcpListener(Listener::Simulated(Box::new(io)))
     }
--- a/crates/host/src/os.rs
+++ b/crates/host/src/os.rs
@@ -13,22 +13,24 @@
 use std::path::Path;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The real machine. Its clock is the Unix time at the start, advanced by a monotonic clock.
+/// The operating system's implementation of [`Machine`]. Its clock is the Unix time at which it was created,
+/// advanced by a monotonic clock.
 pub struct OsMachine {
-    unix_start: Micros,
-    monotonic_start: Instant,
+    started_at_unix: Micros,
+    started_at_monotonic: Instant,
 }
 
 impl OsMachine {
+    /// Starts the clock at the current Unix time.
     pub fn new() -> Self {
         let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        OsMachine { unix_start: unix_time.as_micros() as Micros, monotonic_start: Instant::now() }
+        OsMachine { started_at_unix: unix_time.as_micros() as Micros, started_at_monotonic: Instant::now() }
     }
 }
 
 impl Machine for OsMachine {
     fn now(&self) -> Micros {
-        self.unix_start + self.monotonic_start.elapsed().as_micros() as Micros
+        self.started_at_unix + self.started_at_monotonic.elapsed().as_micros() as Micros
     }
 
     fn sleep_until(&self, at: Micros) -> Local<'static, ()> {
--- a/crates/host/src/retry.rs
+++ b/crates/host/src/retry.rs
@@ -5,11 +5,12 @@
 use std::io;
 use std::time::Duration;
 
-/// The most attempts of a call that is repeated without delay. Transient failures rarely occur more often
-/// in a row, and a call that fails permanently costs only a few microseconds more.
-const MAX_ATTEMPTS: usize = 16;
-/// Delays between the attempts of a call that opens something. They add up to an eighth of a second, which
-/// leaves time for another answer within the shortest time limit of a connection.
+/// Largest number of attempts of a call or an accept that is repeated without delay. Transient failures
+/// rarely occur more often in a row, and a call that fails permanently costs only a few microseconds more.
+const MAX_IMMEDIATE_ATTEMPTS: usize = 16;
+/// Delays between the attempts of a call that is retried with backoff. They add up to 127 ms, about an eighth
+/// of a second. After the last failure the caller therefore still has time to give another answer within the
+/// shortest time limit of a connection.
 const BACKOFF_DELAYS: [Duration; 8] = [
     Duration::ZERO,
     Duration::from_millis(1),
@@ -44,16 +45,16 @@
     errno(error).is_some_and(|errno| transient.contains(&errno))
 }
 
-/// Whether a call that opens or writes something may succeed a moment later. A route may be missing for a
+/// Whether a call that is retried with backoff may succeed a moment later. A route may be missing for a
 /// moment, and a file system may be full or fail for a moment.
-fn is_transient_for_open(error: &io::Error) -> bool {
+fn may_succeed_later(error: &io::Error) -> bool {
     let transient = [Errno::NETUNREACH, Errno::NOSPC, Errno::IO];
     is_local_error(error) || errno(error).is_some_and(|errno| transient.contains(&errno))
 }
 
 /// Makes a nonblocking call and repeats it at once after a transient failure.
 pub(crate) fn retry_immediately<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    for _ in 1..MAX_ATTEMPTS {
+    for _ in 1..MAX_IMMEDIATE_ATTEMPTS {
         match call() {
             Err(error) if is_transient(&error) => {}
             result => return result,
@@ -64,7 +65,7 @@
 
 /// Accepts a connection and tries again when a connection failed before it was accepted.
 pub(crate) async fn accept_with_retry<T>(mut accept: impl AsyncFnMut() -> io::Result<T>) -> io::Result<T> {
-    for _ in 1..MAX_ATTEMPTS {
+    for _ in 1..MAX_IMMEDIATE_ATTEMPTS {
         match accept().await {
             Err(error) if !is_resource_exhausted(&error) => {}
             result => return result,
@@ -73,27 +74,28 @@
     accept().await
 }
 
-/// Opens something and tries again after a delay when that fails transiently.
-pub(crate) async fn retry_with_backoff<T>(mut open: impl AsyncFnMut() -> io::Result<T>) -> io::Result<T> {
+/// Makes a call and repeats it after increasing delays while its failure is transient.
+pub(crate) async fn retry_with_backoff<T>(mut call: impl AsyncFnMut() -> io::Result<T>) -> io::Result<T> {
     for delay in BACKOFF_DELAYS {
-        match open().await {
-            Err(error) if is_transient_for_open(&error) => {}
+        match call().await {
+            Err(error) if may_succeed_later(&error) => {}
             result => return result,
         }
         if !delay.is_zero() {
             tokio::time::sleep(delay).await;
         }
     }
-    open().await
+    call().await
 }
 
-/// Does the same as `retry_with_backoff` but blocks the thread, for times when no other work is in progress.
-pub fn retry_with_backoff_blocking<T>(mut open: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+/// Like `retry_with_backoff`, but blocks the thread between the attempts, for times when no other work is in
+/// progress.
+pub fn retry_with_backoff_blocking<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     for delay in BACKOFF_DELAYS {
-        match open() {
-            Err(error) if is_transient_for_open(&error) => std::thread::sleep(delay),
+        match call() {
+            Err(error) if may_succeed_later(&error) => std::thread::sleep(delay),
             result => return result,
         }
     }
-    open()
+    call()
 }
--- a/crates/host/src/task.rs
+++ b/crates/host/src/task.rs
@@ -22,9 +22,9 @@
 }
 
 /// A handle to await the end of a task. The task keeps running when the handle is dropped.
-pub struct Task(oneshot::Receiver<TaskEnd>);
+pub struct TaskHandle(oneshot::Receiver<TaskEnd>);
 
-impl Future for Task {
+impl Future for TaskHandle {
     type Output = TaskEnd;
 
     fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<TaskEnd> {
@@ -33,14 +33,14 @@
 }
 
 /// Wraps a task so that its panics are caught. Returns the wrapped task and its handle.
-pub(crate) fn catch_panics(task: impl Future<Output = ()>) -> (impl Future<Output = ()>, Task) {
+pub(crate) fn catch_panics(task: impl Future<Output = ()>) -> (impl Future<Output = ()>, TaskHandle) {
     let (sender, receiver) = oneshot::channel();
     let task = async move {
         let end = CatchPanic(Box::pin(task)).await;
         // The handle may have been dropped.
         let _ = sender.send(end);
     };
-    (task, Task(receiver))
+    (task, TaskHandle(receiver))
 }
 
 /// A future whose panic ends it as [`TaskEnd::Aborted`].
@@ -58,9 +58,10 @@
     }
 }
 
-/// A signal of the real machine. Its handler sets a flag and then writes to a socket, which wakes the waiting
-/// task. The flag is also checked at intervals, as a failing call may lose the wakeup. This type replaces
-/// tokio's signal handling, which ends the process when the read that follows a signal is interrupted.
+/// A signal of the operating system. Its handler sets a flag and then writes to a socket, which wakes the
+/// waiting task. The flag is also checked at intervals, as a failing call may lose the wakeup. This type
+/// replaces tokio's signal handling, which ends the process when the read that follows a signal is
+/// interrupted.
 pub(crate) struct OsSignal {
     arrived: Arc<AtomicBool>,
     wakeups: UnixStream,
@@ -108,7 +109,7 @@
 }
 
 impl Signals {
-    /// A stream of signals that another machine sends through a channel.
+    /// The stream of arrivals that a custom [`Machine`](crate::Machine) sends through a channel.
     pub fn from_channel(arrivals: UnboundedReceiver<()>) -> Self {
         Signals(SignalSource::Simulated(arrivals))
     }
