--- a/crates/lab/src/defects.rs
+++ b/crates/lab/src/defects.rs
@@ -271,11 +271,11 @@
         self.inner.served()
     }
 
-    fn farewell(&self) -> &'static [u8] {
+    fn move_message(&self) -> &'static [u8] {
         match self.defect {
             Defect::MoveMute => b"",
             Defect::MoveCutShort => b"MOVE",
-            _ => self.inner.farewell(),
+            _ => self.inner.move_message(),
         }
     }
 }
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -106,8 +106,8 @@
     let file: RawConfig = simd_json::serde::from_slice(&mut bytes)
         .map_err(|e| format!("config {}: {e}", path.display()).replace('\n', " "))?;
     let (mut settings, names) = wire::parse_settings_value(file.settings)?;
-    // A maximum age holds only where the proxy asks for the list. An agent that pushes the endpoints runs
-    // beside the proxy, and what the agent has not received is not reported.
+    // The maximum age applies only if the proxy requests the endpoints. If an agent beside the proxy pushes
+    // them, the proxy cannot learn of changes that the agent has not received, so no maximum age applies.
     settings.max_endpoints_age = settings.ask_for_list.then_some(discovery::MAX_ENDPOINTS_AGE_US);
     settings.max_endpoints_age_after_move = discovery::MAX_ENDPOINTS_AGE_AFTER_MOVE_US;
     let seed = u64::from_str_radix(&file.seed, 16)
--- a/crates/proxy/src/console.rs
+++ b/crates/proxy/src/console.rs
@@ -28,8 +28,8 @@
 const READ_BUFFER_BYTES: usize = 8_192;
 /// Connections that the system queues before they are accepted.
 const LISTEN_BACKLOG: i32 = 256;
-/// Pause after a failed accept.
-const ACCEPT_PAUSE_US: Micros = 20_000;
+/// Delay after a failed accept.
+const ACCEPT_RETRY_DELAY_US: Micros = 20_000;
 
 /// Maximum number of simultaneous console connections, if the process may hold `max_descriptors` file
 /// descriptors.
@@ -65,8 +65,8 @@
                     drop(core.host.spawn(handle_connection(core.clone(), upgrades.clone(), stream, slot)))
                 }
                 Err(e) => {
-                    tracing::warn!(target: "console", "{e}");
-                    core.deadlines.until(core.now() + ACCEPT_PAUSE_US).await;
+                    tracing::warn!(target: "console", "accept failed: {e}");
+                    core.deadlines.until(core.now() + ACCEPT_RETRY_DELAY_US).await;
                 }
             }
         }
@@ -136,7 +136,7 @@
                 }
                 MaintenanceResult::Persisted => {}
             }
-            tracing::info!(target: "console", "{backend}: {state}");
+            tracing::info!(target: "console", "backend {backend} was set to {state}");
             text_response(
                 StatusCode::OK,
                 if in_maintenance { "nothing new goes there\n" } else { "in use\n" },
--- a/crates/proxy/src/core.rs
+++ b/crates/proxy/src/core.rs
@@ -26,7 +26,7 @@
 /// delay after them that is not slow.
 const SLOW_DELAY_DIVISOR: u64 = 3;
 
-/// A command of the decision module to the task that serves a request.
+/// A command to the task that serves a request, from the decision module or from the shutdown.
 #[derive(Debug)]
 pub enum RequestCommand {
     /// Start an attempt at that backend, and stop waiting for it at that time.
@@ -44,9 +44,9 @@
 /// A connection on its way to the successor process.
 pub struct PendingHandover {
     /// The description of the connection that is sent along.
-    pub connection: HandoverRecord,
+    pub record: HandoverRecord,
     /// The connection itself.
-    pub standing: EstablishedConnection,
+    pub connection: EstablishedConnection,
     /// Receives `Ok` once the successor holds the connection, or the connection back.
     pub done: oneshot::Sender<Result<(), EstablishedConnection>>,
 }
@@ -104,11 +104,11 @@
     successor: RefCell<Option<UnboundedSender<PendingHandover>>>,
     /// Number of clients without an active request that still await an answer or the rest of one: the proxy
     /// is reading their request or sending their final answer.
-    shutdown_guards: Cell<usize>,
+    shutdown_guard_count: Cell<usize>,
     /// Notified when no client awaits an answer any more.
     idle: Notify,
-    /// Set when the proxy starts no more attempts.
-    pub draining: Latch,
+    /// Set when the shutdown has begun: the proxy starts no more attempts.
+    pub stopping: Latch,
     /// Set when the process is about to exit. Every client then gets its final answer, whatever the state of
     /// its request.
     pub terminating: Latch,
@@ -141,7 +141,7 @@
 
 impl Drop for ShutdownGuard {
     fn drop(&mut self) {
-        self.0.shutdown_guards.set(self.0.shutdown_guards.get() - 1);
+        self.0.shutdown_guard_count.set(self.0.shutdown_guard_count.get() - 1);
         self.0.notify_if_idle();
     }
 }
@@ -170,9 +170,9 @@
             probes,
             last_delay_reports: RefCell::default(),
             successor: RefCell::default(),
-            shutdown_guards: Cell::new(0),
+            shutdown_guard_count: Cell::new(0),
             idle: Notify::new(),
-            draining: Latch::default(),
+            stopping: Latch::default(),
             terminating: Latch::default(),
         };
         (Rc::new(core), requested_probes)
@@ -289,16 +289,16 @@
     /// Hands a connection over to the successor process. Returns the connection where no successor took it.
     pub async fn hand_over_connection(
         &self,
-        connection: HandoverRecord,
+        record: HandoverRecord,
         established: EstablishedConnection,
     ) -> Result<(), EstablishedConnection> {
         let (done, outcome) = oneshot::channel();
         let Some(successor) = self.successor.borrow().clone() else { return Err(established) };
-        match successor.send(PendingHandover { connection, standing: established, done }) {
+        match successor.send(PendingHandover { record, connection: established, done }) {
             // The handover task returns an unaccepted connection before it ends. A panic in that task loses
             // the connection.
             Ok(()) => outcome.await.unwrap_or(Ok(())),
-            Err(unsent) => Err(unsent.0.standing),
+            Err(unsent) => Err(unsent.0.connection),
         }
     }
 
@@ -338,21 +338,21 @@
         self.module.borrow().balancer().may_send_attempt(self.now(), id)
     }
 
-    /// Starts no more attempts. The decision module answers every request that waits.
-    pub fn stop(&self) {
-        self.draining.set();
+    /// Begins the shutdown: no more attempts start, and the decision module answers every request that waits.
+    pub fn begin_shutdown(&self) {
+        self.stopping.set();
         self.dispatch_event(Event::Stopping);
     }
 
     /// A guard for a client that awaits an answer: the process tries not to exit before the guard is dropped.
     pub fn shutdown_guard(self: &Rc<Self>) -> ShutdownGuard {
-        self.shutdown_guards.set(self.shutdown_guards.get() + 1);
+        self.shutdown_guard_count.set(self.shutdown_guard_count.get() + 1);
         ShutdownGuard(self.clone())
     }
 
     /// Whether no request is active and no client awaits an answer.
     pub fn is_idle(&self) -> bool {
-        self.requests.borrow().is_empty() && self.shutdown_guards.get() == 0
+        self.requests.borrow().is_empty() && self.shutdown_guard_count.get() == 0
     }
 
     fn notify_if_idle(&self) {
@@ -373,17 +373,17 @@
 /// that the decision module still expects.
 pub struct RequestHandle {
     core: Rc<Core>,
-    /// The request's identity in the decision module.
+    /// The request's id in the decision module.
     pub id: RequestId,
     class: usize,
-    /// The request's identity as its client sent it.
+    /// The client's identifier of the request, as the client sent it.
     pub identity: String,
-    /// The commands of the decision module.
+    /// The commands for this request.
     pub commands: UnboundedReceiver<RequestCommand>,
     /// Number of attempts started.
     attempts: u32,
     /// When the attempt in progress started.
-    attempt_started: Option<Micros>,
+    attempt_started_at: Option<Micros>,
     /// Whether the final answer is known, or the decision module expects none.
     answered: bool,
 }
@@ -405,7 +405,7 @@
             identity,
             commands,
             attempts: 0,
-            attempt_started: None,
+            attempt_started_at: None,
             answered: false,
         })
     }
@@ -418,12 +418,12 @@
     /// Records the start of an attempt.
     pub fn start_attempt(&mut self) {
         self.attempts += 1;
-        self.attempt_started = Some(self.core.now());
+        self.attempt_started_at = Some(self.core.now());
     }
 
     /// Records that the attempt's connection is established, and reports it to the decision module.
     pub fn report_established(&mut self) {
-        let started = self.attempt_started.unwrap_or_else(|| self.core.now());
+        let started = self.attempt_started_at.unwrap_or_else(|| self.core.now());
         let latency = self.core.now() - started;
         self.record_established();
         self.core.dispatch_event(Event::Established { id: self.id, attempt: self.attempts - 1, latency });
@@ -455,7 +455,7 @@
 
     /// Ends the attempt in progress, if there is one, and reports its result to the decision module.
     pub fn end_attempt(&mut self, status: Status) {
-        let Some(started) = self.attempt_started.take() else { return };
+        let Some(started) = self.attempt_started_at.take() else { return };
         if let Some(request) = self.core.requests.borrow_mut().get_mut(&self.id) {
             request.established = false;
         }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -71,7 +71,7 @@
     }
 }
 
-/// Runs the proxy on `host` until its planned stop is complete.
+/// Runs the proxy on `host` until its shutdown is complete.
 pub async fn run(
     host: Host,
     handlers: SignalHandlers,
@@ -96,11 +96,19 @@
     let endpoints = Rc::new(RefCell::new(Endpoints::default()));
     let index = Cell::new(Some(initial_endpoints.index()));
     discovery::apply_endpoints(&core, &names, &endpoints, initial_endpoints, ListKind::Full);
-    let (discovery_sender, server) = watch::channel(config.discovery);
+    let (discovery_sender, discovery_addresses) = watch::channel(config.discovery);
     host.spawn(reload::on_sighup(core.clone(), hangups, config.source, discovery_sender));
     keep_up(&host, "machine list", {
         let (core, names, endpoints) = (core.clone(), names.clone(), endpoints.clone());
-        move || discovery::watch(core.clone(), names.clone(), endpoints.clone(), server.clone(), index.take())
+        move || {
+            discovery::watch(
+                core.clone(),
+                names.clone(),
+                endpoints.clone(),
+                discovery_addresses.clone(),
+                index.take(),
+            )
+        }
     });
     host.spawn(probe::serve(core.clone(), protocol.clone(), probes));
     let reserved_descriptors = config.console.map_or(0, |_| console::max_connections(config.max_descriptors));
--- a/crates/proxy/src/listener.rs
+++ b/crates/proxy/src/listener.rs
@@ -69,11 +69,17 @@
         host.listen(address, LISTEN_BACKLOG, reuse_port).map_err(|e| format!("listen: {address}: {e}"))
     }
 
-    /// Creates a listener for as many requests as `sockets` descriptors allow, less `reserved` ones for other
-    /// purposes.
-    pub fn new(host: &Host, listener: TcpListener, sockets: usize, reserved: usize) -> Self {
-        let pending_slots = (sockets / DESCRIPTORS_PER_PENDING_SLOT).max(MIN_PENDING_SLOTS);
-        let max_requests = (sockets.saturating_sub(RESERVED_DESCRIPTORS + pending_slots + reserved)
+    /// Creates a listener for as many requests as `max_descriptors` allow, less `reserved_descriptors` for
+    /// other purposes.
+    pub fn new(
+        host: &Host,
+        listener: TcpListener,
+        max_descriptors: usize,
+        reserved_descriptors: usize,
+    ) -> Self {
+        let pending_slots = (max_descriptors / DESCRIPTORS_PER_PENDING_SLOT).max(MIN_PENDING_SLOTS);
+        let max_requests = (max_descriptors
+            .saturating_sub(RESERVED_DESCRIPTORS + pending_slots + reserved_descriptors)
             / DESCRIPTORS_PER_REQUEST)
             .max(1);
         let spare_descriptor = RefCell::new(host.reserve_descriptor());
@@ -130,7 +136,7 @@
     }
 
     /// The number of requests that this process may hold now.
-    fn cap(&self) -> usize {
+    fn request_limit(&self) -> usize {
         self.max_requests.saturating_sub(self.predecessor_requests.get())
     }
 
@@ -207,12 +213,12 @@
 }
 
 /// The outcome of reading a client's request.
-enum Read {
+enum ReadOutcome {
     Request(Box<dyn ClientRequest>),
     /// What the client sent is not a valid request.
     Invalid,
     /// The client has not sent a whole request, and the proxy waits no longer.
-    TimedOut,
+    Incomplete,
     /// The client closed or lost the connection before its request was complete.
     Disconnected,
 }
@@ -231,24 +237,26 @@
         let received = tokio::select! {
             biased;
             received = read_request(&**protocol, &stream) => received,
-            () = core.deadlines.until(core.now() + REQUEST_READ_TIMEOUT_US) => Read::TimedOut,
-            // During a drain a client without a request is told to go elsewhere while it still can.
-            () = core.draining.wait() => Read::TimedOut,
+            () = core.deadlines.until(core.now() + REQUEST_READ_TIMEOUT_US) => ReadOutcome::Incomplete,
+            // During a shutdown a client without a request is told to go elsewhere while it still can.
+            () = core.stopping.wait() => ReadOutcome::Incomplete,
             () = slot.evicted() => {
                 self.evict(core, protocol, stream);
                 return None;
             }
         };
         let answer = match received {
-            Read::Request(request) if core.active_requests() < self.cap() => return Some((stream, request)),
-            Read::Request(request) => {
+            ReadOutcome::Request(request) if core.active_requests() < self.request_limit() => {
+                return Some((stream, request));
+            }
+            ReadOutcome::Request(request) => {
                 core.metrics.count_answer(request.request().class, FinalAnswer::Refused);
                 protocol.refusal(Some(RETRY_AFTER_US))
             }
             // Nothing was sent to a backend, so a retry is harmless.
-            Read::TimedOut => protocol.refusal(Some(RETRY_AFTER_US)),
-            Read::Invalid => protocol.failure(),
-            Read::Disconnected => return None,
+            ReadOutcome::Incomplete => protocol.refusal(Some(RETRY_AFTER_US)),
+            ReadOutcome::Invalid => protocol.failure(),
+            ReadOutcome::Disconnected => return None,
         };
         tokio::select! {
             // Sending comes first, so that the answer is on its way whatever else is ready.
@@ -284,28 +292,30 @@
 
 /// Reads lines until one is a request. A client waits for an answer after that line, so a request with
 /// further bytes behind it is invalid.
-async fn read_request(protocol: &dyn Protocol, stream: &TcpStream) -> Read {
+async fn read_request(protocol: &dyn Protocol, stream: &TcpStream) -> ReadOutcome {
     let mut received = Vec::new();
     loop {
         received = match read_line(stream, received).await {
             Ok(received) => received,
             // The line is too long.
-            Err(e) if e.kind() == std::io::ErrorKind::InvalidData => return Read::Invalid,
-            Err(_) => return Read::Disconnected,
+            Err(e) if e.kind() == std::io::ErrorKind::InvalidData => return ReadOutcome::Invalid,
+            Err(_) => return ReadOutcome::Disconnected,
         };
         let line_end = received.iter().position(|&byte| byte == b'\n').map_or(0, |at| at + 1);
         if !received[..line_end].ends_with(b"\r\n") {
-            return Read::Invalid;
+            return ReadOutcome::Invalid;
         }
         match protocol.parse_client_line(first_line(&received)) {
-            ClientMessage::Request(request) if received.len() == line_end => return Read::Request(request),
+            ClientMessage::Request(request) if received.len() == line_end => {
+                return ReadOutcome::Request(request);
+            }
             ClientMessage::Immediate(answer) => {
                 received.drain(..line_end);
                 if write_all(stream, answer).await.is_err() {
-                    return Read::Disconnected;
+                    return ReadOutcome::Disconnected;
                 }
             }
-            ClientMessage::Request(_) | ClientMessage::Malformed => return Read::Invalid,
+            ClientMessage::Request(_) | ClientMessage::Malformed => return ReadOutcome::Invalid,
         }
     }
 }
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -42,8 +42,8 @@
 }
 
 impl Metrics {
-    /// Metrics for these classes, with all counters at zero. The names are fixed, so that no registration can
-    /// fail.
+    /// Metrics for these classes, with all counters at zero. Fails if a metric cannot be registered, which
+    /// the fixed metric names rule out.
     pub fn new(classes: Vec<String>) -> Result<Self, prometheus::Error> {
         let registry = Registry::new();
         let register_counter = |metric_name: &str, help: &str| -> Result<IntCounterVec, prometheus::Error> {
@@ -100,7 +100,8 @@
         self.active_requests.set(gauges.active_requests as i64);
         self.listed.set(gauges.listed as i64);
         self.avoided.set(gauges.avoided as i64);
-        // Writing counters as text cannot fail, and an empty page would be noticed.
+        // Encoding these metrics is not expected to fail. On failure the text is empty, which operators would
+        // notice.
         TextEncoder::new().encode_to_string(&self.registry.gather()).unwrap_or_default()
     }
 }
--- a/crates/proxy/src/protocol/lines.rs
+++ b/crates/proxy/src/protocol/lines.rs
@@ -210,7 +210,7 @@
         b"BYE\r\n"
     }
 
-    fn farewell(&self) -> &'static [u8] {
+    fn move_message(&self) -> &'static [u8] {
         b"MOVE\r\n"
     }
 }
--- a/crates/proxy/src/protocol/mod.rs
+++ b/crates/proxy/src/protocol/mod.rs
@@ -41,8 +41,8 @@
     fn failure(&self) -> Vec<u8>;
     /// The answer that a request has already been served to its end.
     fn served(&self) -> &'static [u8];
-    /// The line that asks a client with an established connection to reconnect elsewhere.
-    fn farewell(&self) -> &'static [u8];
+    /// The move message: the line that asks a client with an established connection to reconnect elsewhere.
+    fn move_message(&self) -> &'static [u8];
 }
 
 /// A line from a client that has not sent a request yet.
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -362,7 +362,7 @@
                 // The backend's connection is closed only once the move message is written: a client that
                 // reads late gets the message late.
                 relay.move_message_queued = true;
-                relay.state.to_client.buffer.extend_from_slice(protocol.farewell());
+                relay.state.to_client.buffer.extend_from_slice(protocol.move_message());
                 continue;
             }
             if relay.move_message_queued && relay.state.to_client.buffer.is_empty()
--- a/crates/proxy/src/reload.rs
+++ b/crates/proxy/src/reload.rs
@@ -10,8 +10,8 @@
 
 /// A file that cannot be used may not be written completely yet, so it is read again at this interval.
 const REREAD_INTERVAL_US: Micros = 100_000;
-/// The file is read again for this long. What a new discovery reports counts as known four seconds after the
-/// signal.
+/// The file is read again for this long. What a new discovery reports must be obeyed four seconds after the
+/// signal ([`MAX_ENDPOINTS_AGE_AFTER_MOVE_US`](crate::source::discovery::MAX_ENDPOINTS_AGE_AFTER_MOVE_US)).
 const REREAD_PERIOD_US: Micros = 2_000_000;
 
 /// Reads the config again at each SIGHUP and publishes the new address of discovery. Requests, their
--- a/crates/proxy/src/request_handler.rs
+++ b/crates/proxy/src/request_handler.rs
@@ -20,7 +20,7 @@
 /// Interval between attempts to resume a connection.
 const RESUME_RETRY_INTERVAL_US: Micros = 250_000;
 
-/// Serves one request. The decision module's commands arrive at each `commands.recv()`.
+/// Serves one request. The commands for it arrive at each `commands.recv()`.
 pub async fn run(
     core: Rc<Core>,
     protocol: Rc<dyn Protocol>,
@@ -56,8 +56,9 @@
             RequestCommand::Attempt { backend, until } => {
                 request_handle.start_attempt();
                 let (id, late_interruption) = (request_handle.id, Cell::new(None));
-                // Guards against changes while the proxy was connecting: a drain may have begun, the client
-                // may have left, and the repeat window or the remaining time may have ended.
+                // Guards against changes while the proxy was connecting: the backend may drain, the shutdown
+                // may have begun, the client may have left, and the repeat window or the remaining time may
+                // have ended.
                 let encode_request = || {
                     late_interruption.set(interruption_now(&client));
                     let permitted = late_interruption.get().is_none() && core.may_send_attempt(id);
--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -1,5 +1,5 @@
-//! The planned stop: new clients are still accepted for a moment, and the moves of all clients are spread
-//! over time.
+//! The shutdown after SIGTERM, which is the signal for a planned stop: new clients are still accepted for a
+//! moment, and the moves of all clients are spread over time.
 
 use crate::core::{Core, RequestCommand};
 use pierloom_decision::Micros;
@@ -7,16 +7,16 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// The kill comes no sooner after SIGTERM than the longest deadline of a class, counted as at most this, and
-/// [`KILL_MARGIN_US`] more.
-const MAX_COUNTED_DEADLINE_US: Micros = 3_000_000;
-/// Time between the longest counted deadline and the kill.
+/// Limit of the class deadline that enters the grace period. The process is killed no earlier after SIGTERM
+/// than the longest deadline of a class, at most this, plus [`KILL_MARGIN_US`].
+const MAX_GRACE_DEADLINE_US: Micros = 3_000_000;
+/// Time by which the grace period exceeds the longest deadline of a class, as limited above.
 const KILL_MARGIN_US: Micros = 700_000;
-/// For this long after SIGTERM, new clients may still be sent to this proxy. Where the kill comes soon, new
-/// clients are refused earlier, so that a third of the time is left for moves and a third for the end.
-const NEW_CLIENTS_PERIOD_US: Micros = 450_000;
-/// New clients are accepted during at most this fraction (one third) of the time before the kill.
-const NEW_CLIENTS_TIME_DIVISOR: Micros = 3;
+/// Longest time from SIGTERM to the first spread move. New clients may still be sent to this proxy meanwhile.
+const FIRST_MOVE_DELAY_US: Micros = 450_000;
+/// The spread moves start after at most this fraction (one third) of the time before the kill. Where the kill
+/// comes soon, the other two thirds are left for the moves and for the end.
+const FIRST_MOVE_DELAY_DIVISOR: Micros = 3;
 /// The last of the spread moves is requested this long before the kill.
 const LAST_MOVE_BEFORE_KILL_US: Micros = 1_100_000;
 /// The process ends this long before the kill.
@@ -31,7 +31,7 @@
 const MIN_MOVE_INTERVAL_US: Micros = 20_000;
 
 /// Returns a receiver of the time at which SIGTERM arrives. The signal may arrive before the process is
-/// ready, and the stop counts from that time.
+/// ready, and the times of the shutdown count from its arrival.
 pub fn watch_sigterm(core: &Rc<Core>, mut terminations: Signals) -> oneshot::Receiver<Micros> {
     let (sender, signalled_at) = oneshot::channel();
     let task_core = core.clone();
@@ -44,17 +44,17 @@
     signalled_at
 }
 
-/// Waits for SIGTERM, then stops the proxy; returns when the process can end.
+/// Waits for SIGTERM, then shuts the proxy down; returns when the process can end.
 pub async fn on_sigterm(core: Rc<Core>, signalled_at: oneshot::Receiver<Micros>) {
     let Ok(signalled_at) = signalled_at.await else { return std::future::pending().await };
     let longest_deadline = core.settings().classes.iter().map(|class| class.deadline).max().unwrap_or(0);
-    let kill_at = signalled_at + longest_deadline.min(MAX_COUNTED_DEADLINE_US) + KILL_MARGIN_US;
+    let kill_at = signalled_at + longest_deadline.min(MAX_GRACE_DEADLINE_US) + KILL_MARGIN_US;
     let last_move = kill_at.saturating_sub(LAST_MOVE_BEFORE_KILL_US).max(signalled_at);
     if hand_over_all(&core, last_move).await {
         return;
     }
     core.deadlines
-        .until(signalled_at + NEW_CLIENTS_PERIOD_US.min((kill_at - signalled_at) / NEW_CLIENTS_TIME_DIVISOR))
+        .until(signalled_at + FIRST_MOVE_DELAY_US.min((kill_at - signalled_at) / FIRST_MOVE_DELAY_DIVISOR))
         .await;
     while core.now() < last_move {
         let (time_left, established) = (last_move - core.now(), core.established_requests());
@@ -68,7 +68,7 @@
     // Clients that are not served by now get an answer while there is time to go elsewhere; the decision
     // module chooses the answer. An attempt in progress may still establish its connection, which is then
     // moved too. Attempts that are in progress at the very end are given up.
-    core.stop();
+    core.begin_shutdown();
     let final_answers_at = kill_at - EXIT_BEFORE_KILL_US - FINAL_ANSWERS_PERIOD_US;
     move_all(&core, final_answers_at).await;
     if core.is_idle() {
--- a/crates/proxy/src/source/discovery.rs
+++ b/crates/proxy/src/source/discovery.rs
@@ -26,23 +26,24 @@
 pub const MAX_ENDPOINTS_AGE_US: Micros = 6_000_000;
 /// The same limit after SIGHUP named another discovery address.
 pub const MAX_ENDPOINTS_AGE_AFTER_MOVE_US: Micros = 4_000_000;
-/// How long discovery may hold a watch. A watch that has gone silent looks like a watch that is held. The
-/// rest of its hold, [`HOLD_SLACK_US`] and the call that replaces it therefore have to fit into
-/// [`MAX_ENDPOINTS_AGE_US`] together.
-const HOLD_MS: u64 = 1_500;
-/// Time that a held call may take beyond its hold. With 300 callers it seldom takes more than 10 ms, but up
-/// to a second while all of them reconnect at once.
+/// How long discovery may hold a call of an open watch before it answers, in milliseconds as in the query. A
+/// broken connection cannot be told from a held call, so this time, [`HOLD_SLACK_US`] and
+/// [`WATCH_OPEN_TIMEOUT_US`] together add up to [`MAX_ENDPOINTS_AGE_US`].
+const WATCH_HOLD_MS: u64 = 1_500;
+/// Time that a held call may take beyond its hold. With 300 callers this is seldom more than 10 ms, but up to
+/// a second while all callers reconnect at once.
 const HOLD_SLACK_US: Micros = 1_000_000;
-/// Time limit for a call that opens a watch; after it another call is made beside the first. Discovery queues
-/// the call behind the calls of all other proxies, and itself ends a call that has waited too long. The limit
-/// is what is left of [`MAX_ENDPOINTS_AGE_US`] after a watch that went silent.
-const WATCH_OPEN_TIMEOUT_US: Micros = MAX_ENDPOINTS_AGE_US - HOLD_MS * 1_000 - HOLD_SLACK_US;
+/// Time limit for a call that opens a watch, including its wait in discovery's queue behind the calls of all
+/// other proxies. After this limit another call is made beside the first. Discovery itself ends a call that
+/// has waited too long. The limit is what is left of [`MAX_ENDPOINTS_AGE_US`] after a watch that went silent.
+const WATCH_OPEN_TIMEOUT_US: Micros = MAX_ENDPOINTS_AGE_US - WATCH_HOLD_MS * 1_000 - HOLD_SLACK_US;
 /// Time limit for connecting to discovery.
 const CONNECT_TIMEOUT_US: Micros = 1_000_000;
 /// Delay after a failed call where the endpoints are pushed. The delay is short, since the proxy then calls
 /// an agent of its own, which no other proxy calls.
 const PUSH_RETRY_DELAY_US: Micros = 100_000;
-/// The largest weight: no machine is larger than this many of the smallest machines.
+/// Upper limit of a backend's weight; a larger reported weight is lowered to it. No backend is larger than
+/// this many of the smallest backends.
 const MAX_WEIGHT: f64 = 1e6;
 /// The largest response body that is read. It holds thousands of endpoints.
 const MAX_BODY_BYTES: usize = 4 << 20;
@@ -261,8 +262,8 @@
     Ok(sender)
 }
 
-/// Makes one call on the kept connection, or on a new one. With a version the call asks for the changes since
-/// that version, without one it asks for a snapshot. Discovery holds a call that continues a watch on a kept
+/// Makes one call on the kept connection, or on a new one. With an index the call asks for the changes since
+/// that index, without one it asks for a snapshot. Discovery holds a call that continues a watch on a kept
 /// connection. The call that opens a watch is not held: it is answered as soon as it reaches the head of
 /// discovery's queue, so that only the calls of other proxies delay it.
 async fn call_discovery(
@@ -271,7 +272,7 @@
     discovery: SocketAddr,
     from_index: Option<u64>,
 ) -> Result<CallResponse, CallError> {
-    let hold_ms = if kept_sender.is_some() { HOLD_MS } else { 0 };
+    let hold_ms = if kept_sender.is_some() { WATCH_HOLD_MS } else { 0 };
     let mut sender = match kept_sender {
         Some(sender) => sender,
         None => connect(core, discovery).await?,
@@ -340,14 +341,14 @@
     endpoints: &'a RefCell<Endpoints>,
     address_changes: watch::Receiver<SocketAddr>,
     discovery: SocketAddr,
-    /// The last version received; `None` before the first response of the current discovery.
+    /// The last index received; `None` before the first response of the current discovery.
     from_index: Option<u64>,
     kept_sender: Option<RequestSender>,
     late_calls: LateCalls<'a>,
 }
 
-/// Watches discovery, and follows it to a new address. With a known version, the watch continues from that
-/// version once the decision module asks for a call; without one, a snapshot is requested at once. After a
+/// Watches discovery, and follows it to a new address. With a known index, the watch continues from that
+/// index once the decision module asks for a call; without one, a snapshot is requested at once. After a
 /// move of discovery a snapshot is requested at once too, whatever is left of a backoff.
 ///
 /// Where the proxy asks for endpoints, the decision module decides whether and when to call again after a
@@ -435,7 +436,7 @@
         let (core, started_at) = (self.core, self.core.now());
         let open_sender = self.kept_sender.take().filter(|sender| !sender.is_closed());
         let timeout =
-            if open_sender.is_some() { HOLD_MS * 1_000 + HOLD_SLACK_US } else { WATCH_OPEN_TIMEOUT_US };
+            if open_sender.is_some() { WATCH_HOLD_MS * 1_000 + HOLD_SLACK_US } else { WATCH_OPEN_TIMEOUT_US };
         let mut pending_call: PendingCall<'a> =
             Box::pin(call_discovery(core, open_sender, self.discovery, self.from_index));
         let mut timed_out = pin!(core.deadlines.until(started_at + timeout));
@@ -483,7 +484,7 @@
 }
 
 impl EndpointsResponse {
-    /// The version from which to watch.
+    /// The index from which to watch.
     pub fn index(&self) -> u64 {
         self.index
     }
--- a/crates/proxy/src/upgrade.rs
+++ b/crates/proxy/src/upgrade.rs
@@ -239,7 +239,7 @@
             Err(e) => {
                 tracing::warn!(
                     target: "upgrade",
-                    "{}: no backend is put into maintenance: {e}",
+                    "{}: cannot restore the backends in maintenance: {e}",
                     paths.maintenance.display()
                 )
             }
@@ -276,7 +276,11 @@
         let backends = serde_json::to_vec(&self.core.backends_in_maintenance()).unwrap_or_default();
         let written = self.core.host.write_file(&paths.maintenance, &backends);
         if let Err(e) = &written {
-            tracing::warn!(target: "upgrade", "{}: {e}", paths.maintenance.display());
+            tracing::warn!(
+                target: "upgrade",
+                "cannot write the backends in maintenance to {}: {e}",
+                paths.maintenance.display()
+            );
         }
         written.is_ok()
     }
@@ -313,9 +317,14 @@
             let task_accept_stopped = accept_stopped.clone();
             self.core.host.spawn(async move {
                 let error = upgrades.follow_predecessor(&channel, &task_listener, &task_accept_stopped).await;
-                tracing::info!(target: "upgrade", "the predecessor has ended ({})", error.kind());
+                tracing::info!(
+                    target: "upgrade",
+                    "the handover from the predecessor is over ({})",
+                    error.kind()
+                );
                 task_listener.set_predecessor_requests(0);
-                // A predecessor that has ended accepts no more clients.
+                // A predecessor that has ended accepts no more clients. If it still runs, this process waits
+                // no longer for it.
                 task_accept_stopped.notify_one();
             });
             tokio::select! {
@@ -334,14 +343,19 @@
             match accepted {
                 Ok(channel) => self.serve_successor(&channel, &listener, &endpoints).await,
                 Err(e) => {
-                    tracing::warn!(target: "upgrade", "{}: {e}", paths.socket.display());
+                    tracing::warn!(
+                        target: "upgrade",
+                        "cannot listen for a successor at {}: {e}",
+                        paths.socket.display()
+                    );
                     self.core.deadlines.until(self.core.now() + LISTEN_RETRY_DELAY_US).await;
                 }
             }
         }
     }
 
-    /// Runs the successor's side of a handover until the predecessor has ended. Returns the final error.
+    /// Runs the successor's side of a handover until the connection to the predecessor fails, or the
+    /// predecessor sends an invalid message. Returns the final error.
     async fn follow_predecessor(
         &self,
         channel: &HandoverChannel,
@@ -369,8 +383,8 @@
                 Ok(HandoverMessage::ActiveRequests(active_requests)) => {
                     listener.set_predecessor_requests(active_requests)
                 }
-                Ok(HandoverMessage::Connection(connection, relay_state)) => {
-                    let adopted = self.adopt(channel, connection, relay_state);
+                Ok(HandoverMessage::Connection(record, relay_state)) => {
+                    let adopted = self.adopt(channel, record, relay_state);
                     // An adopted connection counts among this process's requests, no longer among the
                     // predecessor's.
                     listener.release_predecessor_request(adopted);
@@ -390,18 +404,19 @@
     }
 
     /// Adopts a connection of the predecessor. Returns false if that is not possible.
-    fn adopt(&self, peer: &HandoverChannel, connection: HandoverRecord, relay_state: RelayState) -> bool {
+    fn adopt(&self, peer: &HandoverChannel, record: HandoverRecord, relay_state: RelayState) -> bool {
         let (Ok(client), Ok(backend)) = (peer.receive_stream(), peer.receive_stream()) else { return false };
         let relay_state = relay_state.with_clock_offset(self.clock_offset.get());
         request_handler::adopt(
             &self.core,
             self.protocol.clone(),
-            connection,
+            record,
             EstablishedConnection { client, backend, state: relay_state },
         )
     }
 
-    /// Runs the predecessor's side of a handover until the successor has ended or has not started in time.
+    /// Runs the predecessor's side of a handover until the connection to the successor fails, the successor
+    /// sends an invalid message, or it has not started in time.
     async fn serve_successor(
         &self,
         channel: &HandoverChannel,
@@ -455,11 +470,11 @@
                     Some(message) = outgoing.recv() => send_message(channel, &message).await?,
                     Some(pending) = pending_handovers.recv(), if in_progress.is_none() => {
                         let PendingHandover {
-                            connection,
-                            standing: EstablishedConnection { client, backend, state: relay_state },
+                            record,
+                            connection: EstablishedConnection { client, backend, state: relay_state },
                             done,
                         } = pending;
-                        let message = HandoverMessage::Connection(connection, relay_state);
+                        let message = HandoverMessage::Connection(record, relay_state);
                         let sent = send_message_with(
                             channel,
                             &message,
@@ -488,7 +503,7 @@
         if let Err(e) = handover.await {
             tracing::warn!(
                 target: "upgrade",
-                "the successor has ended ({}): this process continues to serve",
+                "the handover to the successor is over ({}): this process continues to serve",
                 e.kind()
             );
         }
@@ -496,7 +511,7 @@
         // This process goes on relaying the connections that the successor did not adopt.
         pending_handovers.close();
         let queued = std::iter::from_fn(|| pending_handovers.try_recv().ok())
-            .map(|pending| (pending.standing, pending.done));
+            .map(|pending| (pending.connection, pending.done));
         for (connection, done) in in_progress.into_iter().chain(queued) {
             let _ = done.send(Err(connection));
         }
