--- a/crates/pierloom/src/logs.rs
+++ b/crates/pierloom/src/logs.rs
@@ -1,21 +1,22 @@
 //! The log: structured events on standard error, with a limit on the number of lines per second.
-#![allow(clippy::disallowed_types, clippy::disallowed_methods)] // seconds of the real clock; outside the proxy
+// The rate limit reads the system clock directly. This file is not part of the proxy crate.
+#![allow(clippy::disallowed_types, clippy::disallowed_methods)]
 
-use crate::settings::{Format, Level, Log};
+use crate::settings::{LogFormat, LogLevel, LogSettings};
 use std::io::{self, Write};
 use std::sync::{Mutex, PoisonError};
 use std::time::Instant;
 use tracing::level_filters::LevelFilter;
 use tracing_subscriber::fmt::{MakeWriter, fmt};
 
-/// Starts to write traced events to standard error.
-pub fn start(log: &Log) {
+/// Installs the global subscriber, which writes events to standard error.
+pub fn init(log: &LogSettings) {
     let level = match log.level {
-        Level::Error => LevelFilter::ERROR,
-        Level::Warn => LevelFilter::WARN,
-        Level::Info => LevelFilter::INFO,
-        Level::Debug => LevelFilter::DEBUG,
-        Level::Trace => LevelFilter::TRACE,
+        LogLevel::Error => LevelFilter::ERROR,
+        LogLevel::Warn => LevelFilter::WARN,
+        LogLevel::Info => LevelFilter::INFO,
+        LogLevel::Debug => LevelFilter::DEBUG,
+        LogLevel::Trace => LevelFilter::TRACE,
     };
     let writer = RateLimitedLog {
         max_lines_per_second: log.lines_per_second,
@@ -24,15 +25,16 @@
     };
     let subscriber = fmt().with_max_level(level).with_writer(writer);
     match log.format {
-        Format::Text => subscriber.init(),
-        Format::Json => subscriber.json().init(),
+        LogFormat::Text => subscriber.init(),
+        LogFormat::Json => subscriber.json().init(),
     }
 }
 
-/// The current second: its number, the lines written in it, and the lines omitted since the last written one.
+/// The current second, counted from the start of the log, the lines written in it, and the lines omitted
+/// since the last written one.
 #[derive(Default)]
 struct LineCounts {
-    number: u64,
+    second: u64,
     written: u32,
     omitted: u64,
 }
@@ -47,10 +49,10 @@
 impl RateLimitedLog {
     /// Returns whether a line may be written now, and how many lines were omitted since the last written one.
     fn admit(&self) -> (bool, u64) {
-        let number = self.started_at.elapsed().as_secs();
+        let second = self.started_at.elapsed().as_secs();
         let mut current = self.current.lock().unwrap_or_else(PoisonError::into_inner);
-        if current.number != number {
-            (current.number, current.written) = (number, 0);
+        if current.second != second {
+            (current.second, current.written) = (second, 0);
         }
         if current.written == self.max_lines_per_second {
             current.omitted += 1;
@@ -68,13 +70,14 @@
         let (admitted, omitted) = self.admit();
         if omitted > 0 {
             // A failure to write the log cannot be logged either.
-            let _ = writeln!(io::stderr(), "{omitted} lines were left out");
+            let _ = writeln!(io::stderr(), "{omitted} log lines omitted by the limit log.lines_per_second");
         }
         EventWriter(admitted)
     }
 }
 
-/// Writes one event if it is within the limit, and discards it otherwise.
+/// Writes one event if the field is true, which means that the event is within the limit, and discards it
+/// otherwise.
 struct EventWriter(bool);
 
 impl Write for EventWriter {
--- a/crates/pierloom/src/main.rs
+++ b/crates/pierloom/src/main.rs
@@ -9,7 +9,7 @@
 use pierloom_host::retry::retry_with_backoff_blocking;
 use pierloom_proxy::config::{self, Config, ErrorMessage};
 use pierloom_proxy::{Components, SignalHandlers};
-use settings::{Format, Settings};
+use settings::{LogFormat, ProgramSettings};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use tokio::runtime::Runtime;
@@ -39,7 +39,7 @@
     settings: Option<PathBuf>,
     /// format of the log, text or json; overrides the settings file
     #[argh(option)]
-    log_format: Option<Format>,
+    log_format: Option<LogFormat>,
 }
 
 /// Print the version.
@@ -59,8 +59,10 @@
     settings: Option<PathBuf>,
 }
 
-/// Exit code for a config that cannot be used.
+/// Exit code for a config or settings file that cannot be used.
 const EXIT_BAD_CONFIG: u8 = 2;
+/// Exit code for any other failure.
+const EXIT_FAILURE: u8 = 1;
 
 /// Reads the config file at `path`, or else the one that LB_CONFIG names.
 fn read_config(host: &Host, path: Option<PathBuf>) -> Result<Config, ErrorMessage> {
@@ -69,13 +71,14 @@
 }
 
 /// Reads the settings file, or returns the built-in settings if there is none.
-fn read_own_settings(host: &Host, path: Option<&Path>) -> Result<Settings, ErrorMessage> {
-    path.map_or_else(|| Ok(Settings::default()), |path| Settings::read(host, path))
+fn read_program_settings(host: &Host, path: Option<&Path>) -> Result<ProgramSettings, ErrorMessage> {
+    path.map_or_else(|| Ok(ProgramSettings::default()), |path| ProgramSettings::read(host, path))
 }
 
-/// Checks the files that the command names; returns the line to print.
+/// Checks the settings file, if one is named, and the config that the command or LB_CONFIG names. Returns the
+/// line to print.
 fn check(host: &Host, options: Check) -> Result<String, ErrorMessage> {
-    read_own_settings(host, options.settings.as_deref())?;
+    read_program_settings(host, options.settings.as_deref())?;
     match options.settings {
         Some(path) if options.config.is_none() && host.env_var("LB_CONFIG").is_none() => {
             Ok(format!("good: {}", path.display()))
@@ -89,9 +92,9 @@
     }
 }
 
-/// Starts the runtime and installs the signal handlers. This comes first, as a signal without a handler ends
+/// Builds the runtime and installs the signal handlers. This comes first, as a signal without a handler ends
 /// the process.
-fn prepare(host: &Host) -> Result<(Runtime, SignalHandlers), ErrorMessage> {
+fn build_runtime(host: &Host) -> Result<(Runtime, SignalHandlers), ErrorMessage> {
     let build = || tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = retry_with_backoff_blocking(build).map_err(|e| format!("runtime: {e}"))?;
     let handlers = {
@@ -101,16 +104,17 @@
     Ok((runtime, handlers))
 }
 
+/// Runs the proxy until SIGTERM; returns the exit code.
 fn serve(host: &Host, options: &Serve) -> Result<ExitCode, ErrorMessage> {
-    let (runtime, handlers) = prepare(host)?;
-    let read = read_own_settings(host, options.settings.as_deref())
+    let (runtime, handlers) = build_runtime(host)?;
+    let loaded = read_program_settings(host, options.settings.as_deref())
         .and_then(|settings| Ok((settings, read_config(host, None)?)));
-    let (mut settings, config) = match read {
-        Ok(read) => read,
+    let (mut settings, config) = match loaded {
+        Ok(loaded) => loaded,
         Err(error) => return Ok(report_error(&error, EXIT_BAD_CONFIG)),
     };
     settings.log.format = options.log_format.unwrap_or(settings.log.format);
-    logs::start(&settings.log);
+    logs::init(&settings.log);
     let components = Components::from_config(&config)?;
     LocalSet::new().block_on(&runtime, pierloom_proxy::run(host.clone(), handlers, config, components))?;
     Ok(ExitCode::SUCCESS)
@@ -137,6 +141,8 @@
             }
             Err(error) => report_error(&error, EXIT_BAD_CONFIG),
         },
-        Command::Serve(options) => serve(&host, &options).unwrap_or_else(|error| report_error(&error, 1)),
+        Command::Serve(options) => {
+            serve(&host, &options).unwrap_or_else(|error| report_error(&error, EXIT_FAILURE))
+        }
     }
 }
