--- a/crates/proxy/src/request_handler.rs
+++ b/crates/proxy/src/request_handler.rs
@@ -56,9 +56,9 @@
             RequestCommand::Attempt { backend, until } => {
                 request_handle.start_attempt();
                 let (id, late_interruption) = (request_handle.id, Cell::new(None));
-                // Guards against changes while the proxy was connecting: the backend may drain, the shutdown
-                // may have begun, the client may have left, and the repeat window or the remaining time may
-                // have ended.
+                // Guards against changes while the proxy was connecting: a drain of the backend may
+                // have begun, the client may have left, and the repeat window or the remaining time may have
+                // ended.
                 let encode_request = || {
                     late_interruption.set(interruption_now(&client));
                     let permitted = late_interruption.get().is_none() && core.may_send_attempt(id);
