--- a/crates/pierloom/tests/upgrade.rs
+++ b/crates/pierloom/tests/upgrade.rs
@@ -1,7 +1,9 @@
-//! Starts a second process of the program beside the first, as operators do at an upgrade.
-#![allow(clippy::disallowed_types, clippy::disallowed_methods)] // real processes on real sockets
+//! Upgrades: a second process of the program starts beside the first and takes over its listener, its state
+//! and its connections.
 
-#[allow(dead_code)] // each test program uses its part
+#![allow(clippy::disallowed_types, clippy::disallowed_methods)] // peers of the real program, on real sockets
+
+#[allow(dead_code)] // each test program uses a part of the harness
 mod harness;
 
 use harness::{Backend, Folder, Peer, Proxy, call_console, metric_value, poll_until};
@@ -13,23 +15,24 @@
 use std::os::unix::net::{UnixListener, UnixStream};
 use std::thread;
 
-fn post_maintenance(console: std::net::SocketAddr, backend: &str, what: &str) -> u16 {
-    call_console(console, "POST", &format!("/label-servers/{backend}/{what}")).0
+/// Puts a backend into maintenance (`maint`) or returns it to service (`ready`). Returns the HTTP status.
+fn post_maintenance(console: std::net::SocketAddr, backend: &str, action: &str) -> u16 {
+    call_console(console, "POST", &format!("/label-servers/{backend}/{action}")).0
 }
 
-/// Calls for its health until it says yes.
+/// Polls the health check until it succeeds.
 fn wait_until_healthy(console: std::net::SocketAddr) {
     while call_console(console, "GET", "/healthcheck").0 != 200 {
         thread::sleep(std::time::Duration::from_millis(5));
     }
 }
 
-/// Opens so many jobs; each has to come to that node.
+/// Establishes as many connections as `requests`. Each request must reach `backend`.
 fn connect_all(proxy: &Proxy, backend: &Backend, name: &str, requests: u32) -> Vec<(Peer, Peer)> {
     (0..requests).map(|n| proxy.connect(&format!("{name}{n}"), backend)).collect()
 }
 
-/// Lines pass both ways.
+/// Checks that each connection relays a line in both directions.
 fn assert_relayed_both_ways(connections: &mut [(Peer, Peer)]) {
     for (client, at_backend) in connections {
         client.send("m\r\n");
@@ -39,32 +42,37 @@
     }
 }
 
+// Guards against an upgrade that refuses clients, cuts connections, or loses what the predecessor learned
+// from discovery: the config of the successor does not name the drain that discovery published after the
+// start.
 #[test]
-fn an_upgrade_turns_nobody_back_and_keeps_what_the_old_one_knew() {
+fn an_upgrade_refuses_no_client_and_keeps_what_the_predecessor_learned() {
     let (folder, backends) = (Folder::new("whole"), [Backend::new("n1"), Backend::new("n2")]);
     let entries = backends.each_ref().map(|backend| backend.entry("ready"));
     let (mut old, old_console) = Proxy::start_in_folder(&folder, None, &entries);
     wait_until_healthy(old_console);
-    // What discovery told since the start; the config of the next process is older.
+    // Discovery publishes the drain after the start. The config of the successor is older.
     old.discovery.publish(&backends[1].entry("draining"));
     while metric_value(&call_console(old_console, "GET", "/stats").1, "lb_targets_disabled") == 0 {}
     let mut connections = connect_all(&old, &backends[0], "a", 5);
     let (new, console) = Proxy::start_in_folder(&folder, Some(old.address), &entries);
     wait_until_healthy(console);
-    // Those who wait in the queue while the old one ends are taken in by the new one.
+    // The successor accepts the connections that wait in the queue while the predecessor ends.
     old.signal("-TERM");
     let during = connect_all(&new, &backends[0], "b", 20);
     assert!(old.wait_for_exit().success());
-    // Whoever stood goes on as if nothing had been.
+    // Connections that the predecessor established stay usable.
     assert_relayed_both_ways(&mut connections);
     let after = connect_all(&new, &backends[0], "c", 10);
     let page = call_console(console, "GET", "/stats").1;
     assert_eq!(metric_value(&page, "lb_success{type=\"feed\"}"), (during.len() + after.len()) as u64);
-    assert!(backends[1].has_no_new_connection(), "a drain that the old one knew of");
+    assert!(backends[1].has_no_new_connection(), "the predecessor knew of the drain");
 }
 
+// Guards against a backend that returns from maintenance by an upgrade, and against a console call that
+// reaches only one of the two processes while both run.
 #[test]
-fn a_mark_holds_across_an_upgrade_and_calls_at_either_process_reach_both() {
+fn maintenance_outlasts_an_upgrade_and_a_call_at_either_process_reaches_both() {
     let (folder, backends) = (Folder::new("mark"), [Backend::new("n1"), Backend::new("n2")]);
     let entries = backends.each_ref().map(|backend| backend.entry("ready"));
     let (old, old_console) = Proxy::start_in_folder(&folder, None, &entries);
@@ -72,20 +80,21 @@
     assert_eq!(post_maintenance(old_console, "n2", "maint"), 200);
     let (new, console) = Proxy::start_in_folder(&folder, Some(old.address), &entries);
     wait_until_healthy(console);
-    let _marked = connect_all(&new, &backends[0], "a", 20);
+    let _in_maintenance = connect_all(&new, &backends[0], "a", 20);
     let disabled = |console| metric_value(&call_console(console, "GET", "/stats").1, "lb_targets_disabled");
-    // During the overlap: at the new one, then at the old one.
+    // While both processes run: a call at the successor, then one at the predecessor.
     assert_eq!((disabled(old_console), disabled(console)), (1, 1));
     assert_eq!(post_maintenance(console, "n2", "ready"), 200);
     while disabled(old_console) != 0 {}
     assert_eq!(post_maintenance(old_console, "n2", "maint"), 200);
     while disabled(console) != 1 {}
-    let _marked = connect_all(&new, &backends[0], "b", 20);
+    let _in_maintenance = connect_all(&new, &backends[0], "b", 20);
     assert!(backends[1].has_no_new_connection());
 }
 
+// Guards against connections that are lost when a process that took them over is upgraded again.
 #[test]
-fn two_upgrades_in_a_row_work_like_one() {
+fn repeated_upgrades_keep_all_connections() {
     let (folder, backend) = (Folder::new("row"), Backend::new("n1"));
     let entries = [backend.entry("ready")];
     let (mut running, console) = Proxy::start_in_folder(&folder, None, &entries);
@@ -102,72 +111,74 @@
     }
     running.signal("-TERM");
     for (client, _) in &mut connections {
-        assert_eq!(client.line(), "MOVE\r\n", "nobody is there to take them");
+        assert_eq!(client.line(), "MOVE\r\n", "no successor takes the connections");
     }
 }
 
-/// The one that runs accepts again whenever the next one dies, whether or not it had taken over.
+// Guards against a proxy that stops accepting because its successor died. The proxy must accept again whether
+// or not the successor had already announced the takeover.
 #[test]
-fn a_new_process_that_dies_before_its_yes_costs_nothing() {
+fn a_successor_that_dies_during_the_handover_costs_no_request() {
     let (folder, backend) = (Folder::new("dies"), Backend::new("n1"));
     let (old, console) = Proxy::start_in_folder(&folder, None, &[backend.entry("ready")]);
     wait_until_healthy(console);
-    for said in ["", "\"tak", "\"taken\"\n", "nonsense\n"] {
-        // The one before has just died: until that is noticed nobody takes another.
-        let asked = || UnixStream::connect(folder.file("pierloom-p0.sock")).ok();
-        let mut next = poll_until(asked).expect("a process that accepts again");
-        let mut words = BufReader::new(next.try_clone().unwrap());
+    for message in ["", "\"tak", "\"taken\"\n", "nonsense\n"] {
+        // Until the proxy notices the death of the previous successor, it accepts no other.
+        let connect = || UnixStream::connect(folder.file("pierloom-p0.sock")).ok();
+        let mut successor = poll_until(connect).expect("a process that accepts again");
+        let mut messages = BufReader::new(successor.try_clone().unwrap());
         let mut state = String::new();
-        words.read_line(&mut state).unwrap();
+        messages.read_line(&mut state).unwrap();
         assert!(state.contains("\"n1\""), "{state}");
-        next.write_all(said.as_bytes()).unwrap();
-        if said == "\"taken\"\n" {
+        successor.write_all(message.as_bytes()).unwrap();
+        if message == "\"taken\"\n" {
             let mut released = String::new();
-            words.read_line(&mut released).unwrap();
+            messages.read_line(&mut released).unwrap();
             assert_eq!(released, "\"released\"\n");
         }
-        drop((next, words));
-        connect_all(&old, &backend, &format!("{}", said.len()), 3);
+        drop((successor, messages));
+        connect_all(&old, &backend, &format!("{}", message.len()), 3);
     }
 }
 
-/// Guards against a hand-over in the middle of a line, of a job that waits for its answer, and of an end.
+// Guards against a handover that loses or changes bytes: connections are handed over in the middle of a line,
+// after an end in one direction, while a request awaits its answer, and before a request is complete.
 #[test]
-fn connections_are_handed_on_whatever_they_are_at() {
+fn connections_are_handed_over_at_every_stage() {
     let (folder, backend) = (Folder::new("at"), Backend::new("n1"));
     let entries = [backend.entry("ready")];
     let (mut old, console) = Proxy::start_in_folder(&folder, None, &entries);
     wait_until_healthy(console);
-    let (mut half, mut half_at) = old.connect("1", &backend);
-    half.send("up");
-    half_at.send("down");
-    assert_eq!((half_at.read(2), half.read(4)), (b"up".to_vec(), b"down".to_vec()));
-    let (mut ends, ends_at) = old.connect("2", &backend);
-    ends_at.shutdown_write();
-    assert_eq!(ends.line(), "");
-    let mut waits = old.open("3");
-    let (mut waits_at, _) = backend.accept_open();
-    // Taken in, and nothing heard yet.
-    let mut unheard = old.client();
-    unheard.send("OPEN 0a4 ");
-    // The listener takes them in in order.
+    let (mut mid_line, mut mid_line_at) = old.connect("1", &backend);
+    mid_line.send("up");
+    mid_line_at.send("down");
+    assert_eq!((mid_line_at.read(2), mid_line.read(4)), (b"up".to_vec(), b"down".to_vec()));
+    let (mut half_closed, half_closed_at) = old.connect("2", &backend);
+    half_closed_at.shutdown_write();
+    assert_eq!(half_closed.line(), "");
+    let mut unanswered = old.open("3");
+    let (mut unanswered_at, _) = backend.accept_open();
+    // Accepted, with an incomplete request.
+    let mut incomplete = old.client();
+    incomplete.send("OPEN 0a4 ");
+    // The listener accepts in order: once this request is served, the connection before it is accepted.
     old.connect("5", &backend);
     let (mut new, console) = Proxy::start_in_folder(&folder, Some(old.address), &entries);
     wait_until_healthy(console);
     old.signal("-TERM");
-    waits_at.send("UP late\r\nmore\r\n");
-    unheard.send("4 c=feed,d=4800\r\n");
-    let (mut unheard_at, _) = backend.accept_open();
-    unheard_at.send("UP r\r\n");
-    assert_eq!(unheard.line(), "UP r\r\n");
+    unanswered_at.send("UP late\r\nmore\r\n");
+    incomplete.send("4 c=feed,d=4800\r\n");
+    let (mut incomplete_at, _) = backend.accept_open();
+    incomplete_at.send("UP r\r\n");
+    assert_eq!(incomplete.line(), "UP r\r\n");
     assert!(old.wait_for_exit().success());
-    half.send(" rest\r\n");
-    half_at.send(" rest\r\n");
-    assert_eq!((half_at.line(), half.line()), (" rest\r\n".to_string(), " rest\r\n".to_string()));
-    assert_eq!((waits.line(), waits.line()), ("UP late\r\n".to_string(), "more\r\n".to_string()));
-    let mut connections = [(half, half_at), (waits, waits_at), (unheard, unheard_at)];
+    mid_line.send(" rest\r\n");
+    mid_line_at.send(" rest\r\n");
+    assert_eq!((mid_line_at.line(), mid_line.line()), (" rest\r\n".to_string(), " rest\r\n".to_string()));
+    assert_eq!((unanswered.line(), unanswered.line()), ("UP late\r\n".to_string(), "more\r\n".to_string()));
+    let mut connections = [(mid_line, mid_line_at), (unanswered, unanswered_at), (incomplete, incomplete_at)];
     assert_relayed_both_ways(&mut connections);
-    // A move waits for the end of a line that the old process saw begin.
+    // The proxy sends MOVE only after the end of a line, also of one that began before the handover.
     let page = call_console(console, "GET", "/stats").1;
     assert_eq!(
         (metric_value(&page, "lb_concurrent"), metric_value(&page, "lb_success{type=\"feed\"}")),
@@ -184,29 +195,31 @@
     assert!(new.wait_for_exit().success());
 }
 
+// Guards against connections that end without MOVE because the successor refuses them or dies before it
+// accepts them.
 #[test]
-fn connections_that_the_next_process_does_not_take_are_moved() {
+fn connections_that_the_successor_does_not_accept_are_moved() {
     let (folder, backend) = (Folder::new("untaken"), Backend::new("n1"));
     let (mut old, console) = Proxy::start_in_folder(&folder, None, &[backend.entry("ready")]);
     wait_until_healthy(console);
     let mut connections = connect_all(&old, &backend, "a", 3);
-    let mut next = UnixStream::connect(folder.file("pierloom-p0.sock")).unwrap();
-    let mut words = BufReader::new(next.try_clone().unwrap());
-    next.write_all(b"\"taken\"\n").unwrap();
-    let (mut word, mut seen) = (String::new(), 0);
-    while seen < 2 {
-        word.clear();
-        words.read_line(&mut word).unwrap();
-        if word.contains("released") {
+    let mut successor = UnixStream::connect(folder.file("pierloom-p0.sock")).unwrap();
+    let mut messages = BufReader::new(successor.try_clone().unwrap());
+    successor.write_all(b"\"taken\"\n").unwrap();
+    let (mut message, mut offered) = (String::new(), 0);
+    while offered < 2 {
+        message.clear();
+        messages.read_line(&mut message).unwrap();
+        if message.contains("released") {
             old.signal("-TERM");
         }
-        if word.contains("connection") {
-            // It declines the first, and dies over the second.
-            next.write_all(b"{\"holds\":false}\n").unwrap();
-            seen += 1;
+        if message.contains("connection") {
+            // The successor refuses the first connection, and dies while it answers the second.
+            successor.write_all(b"{\"holds\":false}\n").unwrap();
+            offered += 1;
         }
     }
-    drop((next, words));
+    drop((successor, messages));
     for (client, _) in &mut connections {
         assert_eq!(client.line(), "MOVE\r\n");
     }
@@ -214,35 +227,39 @@
     assert!(old.wait_for_exit().success());
 }
 
+// Guards against a successor that serves nothing, or forgets the maintenance on disk, because its predecessor
+// stops in the middle of the handover.
 #[test]
-fn a_hand_over_cut_in_the_middle_leaves_a_process_that_serves() {
+fn an_interrupted_handover_leaves_a_successor_that_serves() {
     let backend = Backend::new("n1");
-    // Nothing at all before the end; words without the socket; silence.
-    for (i, said) in [Some(""), Some("{\"state\":{\"withheld\":["), None].into_iter().enumerate() {
+    // The predecessor closes at once, closes after a message without the listener, or stays silent.
+    for (i, message) in [Some(""), Some("{\"state\":{\"withheld\":["), None].into_iter().enumerate() {
         let folder = Folder::new(&format!("cut{i}"));
-        let offers = UnixListener::bind(folder.file("pierloom-p0.sock")).unwrap();
+        let handover = UnixListener::bind(folder.file("pierloom-p0.sock")).unwrap();
         std::fs::write(folder.file("pierloom-p0.withheld"), r#"["n2"]"#).unwrap();
-        let cut = thread::spawn(move || {
-            let (mut asked, _) = offers.accept().unwrap();
-            match said {
-                Some(said) => asked.write_all(said.as_bytes()).unwrap(),
-                // It never answers.
-                None => drop(asked.set_read_timeout(None)),
+        let predecessor = thread::spawn(move || {
+            let (mut successor, _) = handover.accept().unwrap();
+            match message {
+                Some(message) => successor.write_all(message.as_bytes()).unwrap(),
+                // The predecessor never answers.
+                None => drop(successor.set_read_timeout(None)),
             }
-            said.is_none().then_some((asked, offers))
+            message.is_none().then_some((successor, handover))
         });
         let other = Backend::new("n2");
         let (new, console) =
             Proxy::start_in_folder(&folder, None, &[backend.entry("ready"), other.entry("ready")]);
         wait_until_healthy(console);
         connect_all(&new, &backend, "a", 10);
-        assert!(other.has_no_new_connection(), "the mark was written down");
-        drop(cut.join());
+        assert!(other.has_no_new_connection(), "the maintenance was stored on disk");
+        drop(predecessor.join());
     }
 }
 
+// Guards against a process that does not start, or forgets maintenance, because of the files of a killed
+// predecessor: its socket, its maintenance file, and a damaged maintenance file.
 #[test]
-fn what_a_killed_process_left_behind_is_met() {
+fn a_process_starts_from_the_files_of_a_killed_predecessor() {
     let (folder, backends) = (Folder::new("left"), [Backend::new("n1"), Backend::new("n2")]);
     let entries = backends.each_ref().map(|backend| backend.entry("ready"));
     let (killed, console) = Proxy::start_in_folder(&folder, None, &entries);
@@ -251,33 +268,35 @@
     killed.signal("-KILL");
     let address = killed.address;
     drop(killed);
-    let (again, console) = Proxy::start_in_folder(&folder, Some(address), &entries);
+    let (restarted, console) = Proxy::start_in_folder(&folder, Some(address), &entries);
     wait_until_healthy(console);
-    connect_all(&again, &backends[0], "a", 20);
-    assert!(backends[1].has_no_new_connection(), "the mark outlives the process");
-    // And it can be upgraded in its turn.
-    let (next, console) = Proxy::start_in_folder(&folder, Some(address), &entries);
+    connect_all(&restarted, &backends[0], "a", 20);
+    assert!(backends[1].has_no_new_connection(), "the maintenance outlasts the process");
+    // The restarted process can be upgraded as well.
+    let (successor, console) = Proxy::start_in_folder(&folder, Some(address), &entries);
     wait_until_healthy(console);
-    connect_all(&next, &backends[0], "b", 20);
+    connect_all(&successor, &backends[0], "b", 20);
     assert!(backends[1].has_no_new_connection());
-    drop((again, next));
+    drop((restarted, successor));
     std::fs::write(folder.file("pierloom-p0.withheld"), "[\"n").unwrap();
-    let (spoilt, console) = Proxy::start_in_folder(&folder, None, &entries);
+    let (damaged, console) = Proxy::start_in_folder(&folder, None, &entries);
     wait_until_healthy(console);
-    connect_all(&spoilt, &backends[0], "c", 1);
+    connect_all(&damaged, &backends[0], "c", 1);
 }
 
+// Guards against a proxy that ends without MOVE at SIGTERM because a successor has asked for its state and
+// not yet taken over.
 #[test]
-fn a_stop_before_the_hand_over_is_whole_is_a_planned_one() {
+fn sigterm_before_the_takeover_is_a_planned_stop() {
     let (folder, backend) = (Folder::new("stop"), Backend::new("n1"));
     let (mut old, console) = Proxy::start_in_folder(&folder, None, &[backend.entry("ready")]);
     wait_until_healthy(console);
     let mut connections = connect_all(&old, &backend, "a", 2);
-    let next = UnixStream::connect(folder.file("pierloom-p0.sock")).unwrap();
+    let successor = UnixStream::connect(folder.file("pierloom-p0.sock")).unwrap();
     let mut state = String::new();
-    BufReader::new(next.try_clone().unwrap()).read_line(&mut state).unwrap();
+    BufReader::new(successor.try_clone().unwrap()).read_line(&mut state).unwrap();
     old.signal("-TERM");
-    // One that comes now still has its answer.
+    // A request that arrives now is still answered.
     let mut late = old.open("b");
     let (mut at_backend, _) = backend.accept_open();
     at_backend.send("UP r\r\n");
@@ -287,87 +306,89 @@
     assert!(old.wait_for_exit().success());
 }
 
-/// Says a word to the process beside, with these sockets.
-fn say_with(to: &UnixStream, word: &str, sockets: &[BorrowedFd<'_>]) {
+/// Sends a handover message with these sockets.
+fn send_with_sockets(to: &UnixStream, message: &str, sockets: &[BorrowedFd<'_>]) {
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(2))];
     let mut rights = SendAncillaryBuffer::new(&mut space);
     assert!(rights.push(SendAncillaryMessage::ScmRights(sockets)));
-    let sent = sendmsg(to, &[IoSlice::new(word.as_bytes())], &mut rights, SendFlags::NOSIGNAL).unwrap();
-    assert_eq!(sent, word.len());
+    let sent = sendmsg(to, &[IoSlice::new(message.as_bytes())], &mut rights, SendFlags::NOSIGNAL).unwrap();
+    assert_eq!(sent, message.len());
 }
 
-/// Both ends of a connection: the one that a process is handed, and the one that stays with its peer.
-fn connection() -> (TcpStream, Peer) {
+/// Both ends of a connection: the proxy's end, which is handed over, and the end of the peer.
+fn connection_pair() -> (TcpStream, Peer) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let peer = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     (listener.accept().unwrap().0, Peer::new(peer))
 }
 
-// Guards a connection whose sockets were sent by a process that was killed before it heard that they had come: nobody
-// else holds it any more. The words are those of a real process; the one that is killed is played here, so that it is
-// gone before the next one can answer.
+// Guards against a lost connection when the predecessor is killed after it sent the sockets of the connection
+// and before it received the confirmation: no other process holds the connection any more. The messages are
+// those of a real process. The test plays the killed process, so that it is gone before the successor can
+// answer.
 #[test]
-fn a_connection_whose_old_process_dies_over_the_hand_over_goes_on_in_the_new_one() {
-    let (first, backend) = (Folder::new("says"), Backend::new("n1"));
-    let (old, console) = Proxy::start_in_folder(&first, None, &[backend.entry("ready")]);
+fn a_connection_survives_a_predecessor_killed_during_its_handover() {
+    let (first_folder, backend) = (Folder::new("says"), Backend::new("n1"));
+    let (old, console) = Proxy::start_in_folder(&first_folder, None, &[backend.entry("ready")]);
     wait_until_healthy(console);
-    let _standing = connect_all(&old, &backend, "a", 1);
-    let mut next = UnixStream::connect(first.file("pierloom-p0.sock")).unwrap();
-    let mut words = BufReader::new(next.try_clone().unwrap());
-    next.write_all(b"\"taken\"\n").unwrap();
-    let mut word = || {
-        let mut word = String::new();
-        words.read_line(&mut word).unwrap();
-        word
+    let _connections = connect_all(&old, &backend, "a", 1);
+    let mut successor = UnixStream::connect(first_folder.file("pierloom-p0.sock")).unwrap();
+    let mut messages = BufReader::new(successor.try_clone().unwrap());
+    successor.write_all(b"\"taken\"\n").unwrap();
+    let mut next_message = || {
+        let mut message = String::new();
+        messages.read_line(&mut message).unwrap();
+        message
     };
-    let state = word();
-    while !word().contains("released") {}
+    let state = next_message();
+    while !next_message().contains("released") {}
     old.signal("-TERM");
-    let connection_word = std::iter::repeat_with(&mut word).find(|word| word.contains("connection")).unwrap();
+    let connection_message =
+        std::iter::repeat_with(&mut next_message).find(|message| message.contains("connection")).unwrap();
     let folder = Folder::new("killed");
-    let offers = UnixListener::bind(folder.file("pierloom-p0.sock")).unwrap();
-    let taken_over = TcpListener::bind("127.0.0.1:0").unwrap();
-    let ((client_end, mut client), (node_end, mut at_backend)) = (connection(), connection());
-    let played = thread::spawn(move || {
-        let (mut asked, _) = offers.accept().unwrap();
-        say_with(&asked, &state, &[taken_over.as_fd()]);
-        let mut words = BufReader::new(asked.try_clone().unwrap());
-        let mut taken = String::new();
-        words.read_line(&mut taken).unwrap();
-        assert_eq!(taken, "\"taken\"\n");
-        asked.write_all(b"\"released\"\n").unwrap();
-        say_with(&asked, &connection_word, &[client_end.as_fd(), node_end.as_fd()]);
+    let handover = UnixListener::bind(folder.file("pierloom-p0.sock")).unwrap();
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let ((client_end, mut client), (backend_end, mut at_backend)) = (connection_pair(), connection_pair());
+    let predecessor = thread::spawn(move || {
+        let (mut successor, _) = handover.accept().unwrap();
+        send_with_sockets(&successor, &state, &[listener.as_fd()]);
+        let mut messages = BufReader::new(successor.try_clone().unwrap());
+        let mut answer = String::new();
+        messages.read_line(&mut answer).unwrap();
+        assert_eq!(answer, "\"taken\"\n");
+        successor.write_all(b"\"released\"\n").unwrap();
+        send_with_sockets(&successor, &connection_message, &[client_end.as_fd(), backend_end.as_fd()]);
     });
     let (_new, console) = Proxy::start_in_folder(&folder, None, &[backend.entry("ready")]);
     wait_until_healthy(console);
-    played.join().unwrap();
+    predecessor.join().unwrap();
     client.send("m\r\n");
     assert_eq!(at_backend.line(), "m\r\n");
     at_backend.send("m back\r\n");
     assert_eq!(client.line(), "m back\r\n");
 }
 
-// Guards against a yes for a mark that is not written down: the folder's writes fail for a moment, and then the process
-// is killed.
+// Guards against maintenance that the console confirms and that is not stored on disk: writes to the folder
+// fail for a moment, and then the process is killed.
 #[test]
-fn a_mark_that_staff_got_a_yes_for_outlives_writes_that_fail_and_a_kill() {
+fn confirmed_maintenance_survives_failed_writes_and_a_kill() {
     let (folder, backend) = (Folder::new("marks"), Backend::new("n1"));
     let entries = [backend.entry("ready")];
-    // Its first rename is that of the socket on which the next process would ask.
+    // The first rename is that of the handover socket, so failures start with the second.
     let failing = ["-e", "trace=rename,renameat,renameat2,fsync,fdatasync"];
     let renames = ["-e", "inject=rename,renameat,renameat2:error=ENOSPC:when=2..4"];
     let syncs = ["-e", "inject=fsync,fdatasync:error=EIO:when=1..2"];
     let tracing = [failing, renames, syncs].concat();
     let (proxy, console) = Proxy::start_in_folder_traced(&folder, &tracing, &entries);
     wait_until_healthy(console);
-    poll_until(|| folder.file("pierloom-p0.sock").exists().then_some(())).expect("an offer");
+    poll_until(|| folder.file("pierloom-p0.sock").exists().then_some(())).expect("a handover socket");
     let since = std::time::Instant::now();
     assert_eq!(post_maintenance(console, "n1", "maint"), 200);
-    assert!(since.elapsed() < std::time::Duration::from_secs(1), "each answer is owed within a second");
+    assert!(since.elapsed() < std::time::Duration::from_secs(1), "the console must answer within a second");
     drop(proxy);
     let (after, console) = Proxy::start_in_folder(&folder, None, &entries);
     wait_until_healthy(console);
     assert!(after.open("a").line().starts_with("BUSY"));
-    assert!(backend.has_no_new_connection(), "nothing new goes there");
+    assert!(backend.has_no_new_connection(), "a backend in maintenance gets no new request");
     assert_eq!(post_maintenance(console, "n1", "ready"), 200);
 }
