--- a/crates/pierloom/tests/syscalls.rs
+++ b/crates/pierloom/tests/syscalls.rs
@@ -1,19 +1,20 @@
-//! System calls that fail for a moment, in the ways that Linux documents: no request is lost, refused or failed over
-//! one. The real program runs under `strace`, which makes chosen calls of a kind fail in place of the system.
+//! System calls that fail for a moment, in the ways that Linux documents. No request may be lost, refused or
+//! failed because of such a failure. The real program runs under `strace`, which makes chosen calls fail
+//! instead of passing them to the kernel.
 
 #![allow(clippy::disallowed_types, clippy::disallowed_methods)] // peers of the real program, on real sockets
 
-#[allow(dead_code)] // each test program uses its part
+#[allow(dead_code)] // each test program uses a part of the harness
 mod harness;
 
 use harness::{Peer, Proxy, SETTINGS, entry};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::thread;
 
-/// Requests that are made under each failure.
-const REQUESTS: usize = 30;
+/// Number of requests sent under each failure.
+const REQUEST_COUNT: usize = 30;
 
-/// Answers every opening with `UP` and every line after it with that line, on as many connections as come.
+/// Starts a backend that answers each request with `UP`, and each line after it with the line `m`.
 fn echoing_backend() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -34,9 +35,9 @@
     }
 }
 
-/// Makes one request after another at a proxy under whose calls those named fail, the first at its `first` use and then
-/// each `step`-th; what each client was told in place of being served.
-fn not_served(name: &str, calls: &str, error: &str, first: usize, step: usize) -> Vec<String> {
+/// Sends one request after another to a proxy whose system calls named in `calls` fail with `error`: the call
+/// number `first`, and then each `step`-th call. Describes the answer to each request that is not served.
+fn failed_requests(name: &str, calls: &str, error: &str, first: usize, step: usize) -> Vec<String> {
     let entries = [entry("n", echoing_backend(), "ready")];
     let inject = format!("inject={calls}:error={error}:when={first}+{step}");
     let proxy =
@@ -51,41 +52,47 @@
         let echoed = client.answer();
         (echoed != "m\r\n").then(|| format!("{calls} {error} {first}+{step}, message {i}: {echoed:?}"))
     };
-    (0..REQUESTS).filter_map(request).collect()
+    (0..REQUEST_COUNT).filter_map(request).collect()
 }
 
-/// Expects that all are served, whichever uses of the calls fail: every second one, and two of five.
+/// Checks that all requests are served when every second call fails, and when every fifth call fails.
 fn assert_all_served(name: &str, calls: &str, errors: &[&str]) {
-    let mut odd = Vec::new();
+    let mut failures = Vec::new();
     for error in errors {
         for (first, step) in [(9, 2), (10, 5)] {
-            odd.extend(not_served(&format!("calls-{name}"), calls, error, first, step));
+            failures.extend(failed_requests(&format!("calls-{name}"), calls, error, first, step));
         }
     }
-    assert!(odd.is_empty(), "{} not served: {odd:#?}", odd.len());
+    assert!(failures.is_empty(), "{} not served: {failures:#?}", failures.len());
 }
 
+// Guards against requests that are lost or refused because a read or a write on a socket is interrupted.
 #[test]
-fn reads_and_writes_that_are_interrupted_lose_nobody() {
+fn interrupted_reads_and_writes_lose_no_request() {
     assert_all_served("read", "recvfrom", &["EINTR"]);
     assert_all_served("write", "sendto,writev", &["EINTR"]);
 }
 
+// Guards against requests that are lost or refused because accepting a connection or setting a socket option
+// fails for a moment.
 #[test]
-fn accepts_and_options_that_fail_for_a_moment_refuse_nobody() {
+fn transient_failures_of_accept_and_setsockopt_refuse_no_request() {
     assert_all_served("accept", "accept4", &["EINTR", "ECONNABORTED", "ENFILE", "ENOBUFS"]);
     assert_all_served("option", "setsockopt", &["ENOBUFS", "EINTR"]);
 }
 
+// Guards against requests that are lost or refused because opening or connecting a socket to a backend fails
+// for a moment.
 #[test]
-fn sockets_and_connects_that_fail_for_a_moment_refuse_nobody() {
+fn transient_failures_of_socket_and_connect_refuse_no_request() {
     assert_all_served("socket", "socket", &["ENFILE", "ENOBUFS"]);
     assert_all_served("connect", "connect", &["EINTR", "EADDRNOTAVAIL", "ENETUNREACH", "ENOBUFS"]);
 }
 
-// Guards against a signal that ends the process, or is lost, since the calls by which it wakes the process fail.
+// Guards against a signal that kills the process, or is lost, because the system calls by which the signal
+// wakes the process fail.
 #[test]
-fn signals_are_heeded_though_reads_and_writes_are_interrupted() {
+fn signals_are_handled_while_reads_and_writes_are_interrupted() {
     let entries = [entry("n", echoing_backend(), "ready")];
     for (first, step) in [(49, 2), (50, 2), (49, 5)] {
         let calls = "recvfrom,sendto,read,write";
