--- a/crates/world/src/net.rs
+++ b/crates/world/src/net.rs
@@ -1,6 +1,7 @@
-//! The simulated network: connections with delay, jitter, bounded windows, partial reads and writes, ends, resets
-//! and silence. Behaves as Linux's TCP does where the proxy can tell: what had come before a reset is still
-//! read; a close with bytes unread is a reset; a machine that is cut off says nothing.
+//! The simulated network: connections with delay, jitter, bounded windows, partial reads and writes, end of
+//! stream, resets and partitions. It behaves as Linux's TCP does wherever the proxy can observe a difference:
+//! bytes that arrived before a reset can still be read, closing a connection with unread bytes resets it, and
+//! a partitioned machine sends nothing.
 
 use crate::observer::Role;
 use crate::rng::Rng;
@@ -20,29 +21,38 @@
 use std::task::{Context, Poll, Waker};
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
 
-/// How links are; drawn for a run.
+/// Linux's error number for a process without free descriptors.
+const EMFILE: i32 = 24;
+/// Probability with which `InjectedDefect::WakeLost` loses the registration for a wake-up.
+const LOST_WAKE_PROBABILITY: f64 = 0.02;
+/// Probability with which `InjectedDefect::ByteDoubled` under-reports a write.
+const DOUBLED_BYTE_PROBABILITY: f64 = 0.01;
+/// Delay that `InjectedDefect::TimerLate` adds to each timer.
+const LATE_TIMER_DELAY_US: Micros = 1_500_000;
+
+/// Properties of the links, drawn once for a run.
 #[derive(Clone, Copy, Debug)]
 pub struct LinkConditions {
-    /// One way within a zone and between zones; microseconds.
-    pub same: Micros,
-    /// One way between zones; microseconds.
-    pub cross: Micros,
-    /// A delay is longer by up to this part of it, drawn for each segment.
+    /// One-way delay within a zone; microseconds.
+    pub same_zone_delay: Micros,
+    /// One-way delay between zones; microseconds.
+    pub cross_zone_delay: Micros,
+    /// Each segment's delay is lengthened by a random fraction of it, up to this value.
     pub jitter: f64,
-    /// Bytes that may be on their way to an end and unread there.
+    /// Bytes that may be in transit to an end or unread there.
     pub window: usize,
-    /// Share of reads and writes that take a part of what they could.
+    /// Share of reads and writes that transfer only part of the bytes they could.
     pub partial: f64,
-    /// Share of resets that overtake what was sent before them.
+    /// Share of resets that overtake segments sent before them; those segments are lost.
     pub lossy: f64,
 }
 
-/// What travels.
+/// A unit that a connection carries in one direction.
 #[derive(Debug)]
 pub enum Segment {
     /// Bytes of the stream.
     Bytes(Vec<u8>),
-    /// The end of the sending.
+    /// The sender's end of stream.
     Fin,
     /// A reset.
     Reset,
@@ -51,85 +61,87 @@
 #[derive(Default)]
 struct End {
     process: ProcessId,
-    inbox: VecDeque<u8>,
-    /// On the way here, in order.
-    coming: VecDeque<Segment>,
-    /// Bytes of them.
-    flight: usize,
-    last_at: Micros,
-    /// The other side's end is here.
-    ended: bool,
-    /// A reset is here.
-    broken: bool,
-    /// This side ended its sending.
-    finished: bool,
-    /// This side let go of the connection.
+    receive_buffer: VecDeque<u8>,
+    /// Segments in transit to this end, in order.
+    in_transit: VecDeque<Segment>,
+    /// Stream bytes in `in_transit`.
+    in_transit_bytes: usize,
+    /// When the latest segment in transit arrives.
+    last_arrival_at: Micros,
+    /// The peer's end of stream has arrived.
+    peer_finished: bool,
+    /// A reset has arrived.
+    is_reset: bool,
+    /// This side has sent its end of stream.
+    write_finished: bool,
+    /// This side has closed the connection.
     closed: bool,
+    /// Closing sends a reset in place of an end of stream.
     reset_on_close: bool,
-    reader: Vec<Waker>,
-    writer: Vec<Waker>,
+    read_wakers: Vec<Waker>,
+    write_wakers: Vec<Waker>,
 }
 
 impl End {
     fn wake_reader(&mut self) {
-        self.reader.drain(..).for_each(Waker::wake);
+        self.read_wakers.drain(..).for_each(Waker::wake);
     }
 
     fn wake_writer(&mut self) {
-        self.writer.drain(..).for_each(Waker::wake);
+        self.write_wakers.drain(..).for_each(Waker::wake);
     }
 }
 
 struct Connection {
     ends: [End; 2],
-    /// Arrivals that wait until neither side is cut off.
-    held: Vec<usize>,
+    /// Ends with an arrival that waits until neither side is partitioned, one entry for each segment.
+    blocked_arrivals: Vec<usize>,
 }
 
 struct Listener {
     process: ProcessId,
     backlog: usize,
-    pending: VecDeque<usize>,
+    accept_queue: VecDeque<usize>,
     waker: Option<Waker>,
 }
 
 /// A process on the network.
 pub struct Process {
-    /// Its name.
+    /// The process's name.
     pub name: String,
     zone: usize,
-    /// Whether it runs.
+    /// Whether the process runs.
     pub alive: Cell<bool>,
-    /// Whether its machine is cut off.
-    silent: Cell<bool>,
-    most_descriptors: usize,
+    /// Whether the process's machine is partitioned from the network.
+    partitioned: Cell<bool>,
+    max_descriptors: usize,
     descriptors: Cell<usize>,
-    /// Files that it can read, by path.
+    /// Files that the process can read, by path.
     pub files: RefCell<BTreeMap<String, Vec<u8>>>,
-    variables: BTreeMap<String, String>,
+    env_vars: BTreeMap<String, String>,
     signals: RefCell<BTreeMap<Signal, UnboundedSender<()>>>,
     injected_defect: Option<InjectedDefect>,
 }
 
-/// A breakage of a process's sockets and timers, planted to see that the rules' observer finds it.
+/// A defect injected into a process's sockets and timers, to verify that the observer detects it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedDefect {
-    /// A reset from the other side is never noticed.
+    /// The process never notices a reset from the peer.
     ResetSwallowed,
-    /// The end of the sending gets lost.
+    /// The end of stream that the process sends gets lost.
     EndSwallowed,
-    /// One wake-up in fifty gets lost.
+    /// One registration for a read wake-up in fifty gets lost.
     WakeLost,
-    /// Connections are not closed when they are let go.
+    /// Connections are not closed when their streams are dropped.
     CloseLost,
-    /// Timers come a second and a half late.
+    /// Timers fire 1.5 s late.
     TimerLate,
-    /// One write in a hundred says that it took a byte less than it did.
+    /// One write in a hundred reports one byte less than it wrote.
     ByteDoubled,
 }
 
-/// A connect that waits for its machine to come back.
-type Held = (ProcessId, Waker);
+/// A connect that waits until this process is no longer partitioned.
+type BlockedConnect = (ProcessId, Waker);
 
 /// The network and its processes.
 pub struct Net {
@@ -138,13 +150,13 @@
     processes: Vec<Rc<Process>>,
     connections: Vec<Connection>,
     listeners: BTreeMap<SocketAddr, Listener>,
-    /// Which machine an address belongs to, so that one that is cut off refuses nothing.
-    machines: BTreeMap<IpAddr, ProcessId>,
-    waiting: Vec<Held>,
+    /// The process that owns each address, so that a partitioned machine leaves connects unanswered.
+    address_owners: BTreeMap<IpAddr, ProcessId>,
+    blocked_connects: Vec<BlockedConnect>,
 }
 
 impl Net {
-    /// A network of such links; its draws come from that stream.
+    /// A network without processes. All its random draws come from `rng`.
     pub fn new(links: LinkConditions, rng: Rng) -> Self {
         Net {
             links,
@@ -152,66 +164,67 @@
             processes: Vec::new(),
             connections: Vec::new(),
             listeners: BTreeMap::new(),
-            machines: BTreeMap::new(),
-            waiting: Vec::new(),
+            address_owners: BTreeMap::new(),
+            blocked_connects: Vec::new(),
         }
     }
 
-    fn delay(&mut self, from: ProcessId, to: ProcessId) -> Micros {
-        let same = self.processes[from].zone == self.processes[to].zone;
-        let base = if same { self.links.same } else { self.links.cross };
+    fn link_delay(&mut self, from: ProcessId, to: ProcessId) -> Micros {
+        let same_zone = self.processes[from].zone == self.processes[to].zone;
+        let base = if same_zone { self.links.same_zone_delay } else { self.links.cross_zone_delay };
         base + (base as f64 * self.links.jitter * self.rng.random::<f64>()) as Micros
     }
 
-    fn cut(&self, connection: &Connection) -> bool {
-        connection.ends.iter().any(|end| self.processes[end.process].silent.get())
+    /// Whether the machine at either end is partitioned.
+    fn is_partitioned(&self, connection: &Connection) -> bool {
+        connection.ends.iter().any(|end| self.processes[end.process].partitioned.get())
     }
 
-    /// A part of that many bytes, or all of them.
-    fn part(&mut self, all: usize) -> usize {
-        if all > 1 && self.links.partial > 0.0 && self.rng.random_bool(self.links.partial) {
-            self.rng.random_range(1..=all)
+    /// The number of bytes that a read or write of up to `length` bytes transfers.
+    fn partial_length(&mut self, length: usize) -> usize {
+        if length > 1 && self.links.partial > 0.0 && self.rng.random_bool(self.links.partial) {
+            self.rng.random_range(1..=length)
         } else {
-            all
+            length
         }
     }
 
-    /// Number of processes that were ever started.
+    /// Number of processes started so far, ended ones included.
     pub fn len(&self) -> usize {
         self.processes.len()
     }
 
-    /// Whether there is none.
+    /// Whether no process was started.
     pub fn is_empty(&self) -> bool {
         self.processes.is_empty()
     }
 
-    /// The process of that number.
+    /// The process with that number.
     pub fn process(&self, id: ProcessId) -> &Rc<Process> {
         &self.processes[id]
     }
 }
 
-/// What a process starts with.
+/// Parameters of a new process.
 pub struct ProcessOptions {
-    /// Its name.
+    /// The process's name.
     pub name: String,
-    /// The zone its machine stands in.
+    /// The zone of the process's machine.
     pub zone: usize,
-    /// Descriptors that it may hold.
+    /// Maximum number of open descriptors.
     pub descriptors: usize,
-    /// Addresses that its machine answers for even if nothing listens there.
+    /// Addresses of the machine; it refuses connects to them where nothing listens.
     pub addresses: Vec<IpAddr>,
-    /// Files that it can read, by path.
+    /// Files that the process can read, by path.
     pub files: BTreeMap<String, Vec<u8>>,
-    /// Its variables.
-    pub variables: BTreeMap<String, String>,
-    /// A planted breakage.
+    /// The process's environment variables.
+    pub env_vars: BTreeMap<String, String>,
+    /// A defect to inject into the process's sockets and timers.
     pub injected_defect: Option<InjectedDefect>,
 }
 
 impl ProcessOptions {
-    /// A process with nothing special about it.
+    /// A process with one address, no descriptor limit, no files and no defect.
     pub fn plain(name: &str, zone: usize, address: IpAddr) -> Self {
         ProcessOptions {
             name: name.into(),
@@ -219,29 +232,29 @@
             descriptors: usize::MAX,
             addresses: vec![address],
             files: BTreeMap::new(),
-            variables: BTreeMap::new(),
+            env_vars: BTreeMap::new(),
             injected_defect: None,
         }
     }
 }
 
 impl Sim {
-    /// Starts a process; its number and its host.
+    /// Starts a process and returns its number and its host.
     pub fn start(self: &Rc<Self>, options: ProcessOptions) -> (ProcessId, Host) {
         let mut net = self.net.borrow_mut();
         let id = net.processes.len();
         for address in &options.addresses {
-            net.machines.insert(*address, id);
+            net.address_owners.insert(*address, id);
         }
         net.processes.push(Rc::new(Process {
             name: options.name,
             zone: options.zone,
             alive: Cell::new(true),
-            silent: Cell::new(false),
-            most_descriptors: options.descriptors,
+            partitioned: Cell::new(false),
+            max_descriptors: options.descriptors,
             descriptors: Cell::new(0),
             files: RefCell::new(options.files),
-            variables: options.variables,
+            env_vars: options.env_vars,
             signals: RefCell::default(),
             injected_defect: options.injected_defect,
         }));
@@ -250,7 +263,7 @@
         (id, Host::of(SimMachine { sim: self.clone(), id, process }))
     }
 
-    /// Ends a process at once: its connections are reset, its listeners go, its tasks end.
+    /// Ends a process at once: resets its connections, removes its listeners and drops its tasks.
     pub fn kill(self: &Rc<Self>, id: ProcessId) {
         let process = self.net.borrow().process(id).clone();
         if !process.alive.replace(false) {
@@ -276,29 +289,29 @@
     pub fn signal(&self, id: ProcessId, which: Signal) {
         let net = self.net.borrow();
         if let Some(sender) = net.processes[id].signals.borrow().get(&which) {
-            // A process that has ended needs none.
+            // Sending fails if the process has ended; it needs no signal then.
             let _ = sender.send(());
         }
     }
 
-    /// Cuts a machine off: nothing arrives there or from there, and nothing is said of it.
+    /// Partitions a machine from the network: no segment reaches it or leaves it, and peers get no error.
     pub fn partition(&self, id: ProcessId) {
-        self.net.borrow().processes[id].silent.set(true);
+        self.net.borrow().processes[id].partitioned.set(true);
     }
 
-    /// Puts it back on the network; what was on the way arrives now, or its connections break.
+    /// Ends a partition. Segments that it blocked arrive now; with `reset`, the machine's connections are reset.
     pub fn heal(self: &Rc<Self>, id: ProcessId, reset: bool) {
         let arrivals: Vec<(usize, usize)> = {
             let mut net = self.net.borrow_mut();
-            net.processes[id].silent.set(false);
-            let waiting = std::mem::take(&mut net.waiting);
-            for (process, waker) in waiting {
-                if process == id { waker.wake() } else { net.waiting.push((process, waker)) }
+            net.processes[id].partitioned.set(false);
+            let blocked_connects = std::mem::take(&mut net.blocked_connects);
+            for (process, waker) in blocked_connects {
+                if process == id { waker.wake() } else { net.blocked_connects.push((process, waker)) }
             }
             let mut arrivals = Vec::new();
             for (c, connection) in net.connections.iter_mut().enumerate() {
                 if connection.ends.iter().any(|end| end.process == id) {
-                    arrivals.extend(connection.held.drain(..).map(|end| (c, end)));
+                    arrivals.extend(connection.blocked_arrivals.drain(..).map(|end| (c, end)));
                 }
             }
             arrivals
@@ -316,11 +329,11 @@
             for (connection, end) in open {
                 self.send(connection, end, Segment::Reset);
                 let mut net = self.net.borrow_mut();
-                let lost = &mut net.connections[connection].ends[end];
-                (lost.broken, lost.flight) = (true, 0);
-                lost.coming.clear();
-                lost.wake_reader();
-                lost.wake_writer();
+                let local = &mut net.connections[connection].ends[end];
+                (local.is_reset, local.in_transit_bytes) = (true, 0);
+                local.in_transit.clear();
+                local.wake_reader();
+                local.wake_writer();
             }
         }
         for (connection, end) in arrivals {
@@ -328,22 +341,23 @@
         }
     }
 
-    /// Descriptors that a process holds.
+    /// Number of descriptors that a process has open.
     pub fn descriptors_of(&self, id: ProcessId) -> usize {
         self.net.borrow().processes[id].descriptors.get()
     }
 
-    fn connected(&self, from: ProcessId, to: ProcessId) -> usize {
+    /// Creates a connection and returns its number; end 0 is the connecting side.
+    fn create_connection(&self, from: ProcessId, to: ProcessId) -> usize {
         let mut net = self.net.borrow_mut();
         let end = |process| End { process, ..End::default() };
-        net.connections.push(Connection { ends: [end(from), end(to)], held: Vec::new() });
+        net.connections.push(Connection { ends: [end(from), end(to)], blocked_arrivals: Vec::new() });
         let connection = net.connections.len() - 1;
         drop(net);
         self.observer.borrow_mut().opened(self.now(), connection, from, to);
         connection
     }
 
-    /// Puts something on the way from that end to the other.
+    /// Sends a segment from that end to the other.
     fn send(&self, connection: usize, end: usize, segment: Segment) {
         self.observer.borrow_mut().sent(self.now(), connection, end, &segment);
         let mut net = self.net.borrow_mut();
@@ -353,92 +367,92 @@
         );
         let lossy = net.links.lossy;
         let overtakes = matches!(segment, Segment::Reset) && lossy > 0.0 && net.rng.random_bool(lossy);
-        let at = self.now() + net.delay(from, to);
+        let at = self.now() + net.link_delay(from, to);
         let other = &mut net.connections[connection].ends[1 - end];
         if overtakes {
-            (other.flight, other.last_at) = (0, 0);
-            other.coming.clear();
+            (other.in_transit_bytes, other.last_arrival_at) = (0, 0);
+            other.in_transit.clear();
         }
         if let Segment::Bytes(bytes) = &segment {
-            other.flight += bytes.len();
+            other.in_transit_bytes += bytes.len();
         }
-        other.coming.push_back(segment);
-        // In order, whatever the jitter.
-        other.last_at = at.max(other.last_at);
-        let at = other.last_at;
+        other.in_transit.push_back(segment);
+        // Segments arrive in order, whatever the jitter.
+        other.last_arrival_at = at.max(other.last_arrival_at);
+        let at = other.last_arrival_at;
         drop(net);
         self.at(at, Due::Deliver(connection, 1 - end));
     }
 
-    /// What is first on the way to that end arrives.
+    /// Delivers the first segment in transit to that end.
     pub(crate) fn deliver(&self, connection: usize, end: usize) {
         let mut net = self.net.borrow_mut();
-        if net.cut(&net.connections[connection]) {
-            net.connections[connection].held.push(end);
+        if net.is_partitioned(&net.connections[connection]) {
+            net.connections[connection].blocked_arrivals.push(end);
             return;
         }
-        let here = &mut net.connections[connection].ends[end];
-        // A reset may have overtaken it.
-        let Some(segment) = here.coming.pop_front() else { return };
+        let local = &mut net.connections[connection].ends[end];
+        // A reset may have overtaken the segment and discarded it.
+        let Some(segment) = local.in_transit.pop_front() else { return };
         if let Segment::Bytes(bytes) = &segment {
-            here.flight -= bytes.len();
+            local.in_transit_bytes -= bytes.len();
         }
-        if here.broken {
+        if local.is_reset {
             return;
         }
-        if here.closed {
+        if local.closed {
             drop(net);
-            // Whoever sends to a closed connection is told so.
+            // Bytes sent to a closed connection are answered with a reset.
             if matches!(segment, Segment::Bytes(_)) {
                 self.send(connection, end, Segment::Reset);
             }
             return;
         }
         match &segment {
-            Segment::Bytes(bytes) => here.inbox.extend(bytes),
-            Segment::Fin => here.ended = true,
+            Segment::Bytes(bytes) => local.receive_buffer.extend(bytes),
+            Segment::Fin => local.peer_finished = true,
             Segment::Reset => {
-                here.broken = true;
-                here.wake_writer();
+                local.is_reset = true;
+                local.wake_writer();
             }
         }
-        here.wake_reader();
+        local.wake_reader();
         drop(net);
         self.observer.borrow_mut().arrived(self.now(), connection, end, &segment);
     }
 
     fn close(&self, connection: usize, end: usize, reset: bool) {
         let mut net = self.net.borrow_mut();
-        let here = &mut net.connections[connection].ends[end];
-        if std::mem::replace(&mut here.closed, true) {
+        let local = &mut net.connections[connection].ends[end];
+        if std::mem::replace(&mut local.closed, true) {
             return;
         }
-        let last = match here {
-            End { broken: true, .. } => None,
+        let final_segment = match local {
+            End { is_reset: true, .. } => None,
             End { reset_on_close: true, .. } => Some(Segment::Reset),
-            End { inbox, .. } if reset || !inbox.is_empty() => Some(Segment::Reset),
-            End { finished: true, .. } => None,
+            End { receive_buffer, .. } if reset || !receive_buffer.is_empty() => Some(Segment::Reset),
+            End { write_finished: true, .. } => None,
             _ => Some(Segment::Fin),
         };
-        here.inbox.clear();
-        let unsaid = here.broken;
+        local.receive_buffer.clear();
+        let was_reset = local.is_reset;
         drop(net);
-        if let Some(segment) = last {
+        if let Some(segment) = final_segment {
             self.send(connection, end, segment);
         }
-        if unsaid {
+        if was_reset {
             self.observer.borrow_mut().closed(self.now(), connection, end);
         }
     }
 }
 
-/// A descriptor that a process holds.
+/// An open descriptor of a process; dropping it releases it.
 struct Descriptor(Rc<Process>);
 
 impl Descriptor {
-    fn take(process: &Rc<Process>) -> io::Result<Self> {
-        if process.descriptors.get() >= process.most_descriptors {
-            return Err(io::Error::from_raw_os_error(24)); // EMFILE
+    fn acquire(process: &Rc<Process>) -> io::Result<Self> {
+        if process.descriptors.get() >= process.max_descriptors {
+            return Err(io::Error::from_raw_os_error(EMFILE));
         }
         process.descriptors.set(process.descriptors.get() + 1);
         Ok(Descriptor(process.clone()))
@@ -459,107 +473,113 @@
 }
 
 impl SimStream {
-    /// Whether that is planted in its process.
+    /// Whether that defect is injected into the stream's process.
     fn has_defect(&self, injected_defect: InjectedDefect) -> bool {
         self.descriptor.0.injected_defect == Some(injected_defect)
     }
 
-    fn with<T>(&self, what: impl FnOnce(&mut Net, usize, usize) -> T) -> T {
-        what(&mut self.sim.net.borrow_mut(), self.connection, self.end)
+    /// Runs `action` with the network, the connection's number and the stream's end of it.
+    fn with_net<T>(&self, action: impl FnOnce(&mut Net, usize, usize) -> T) -> T {
+        action(&mut self.sim.net.borrow_mut(), self.connection, self.end)
     }
 }
 
 impl StreamIo for SimStream {
     fn poll_readable(&self, context: &mut Context<'_>) -> Poll<()> {
-        self.with(|net, connection, end| {
-            let lost = self.has_defect(InjectedDefect::WakeLost) && net.rng.random_bool(0.02);
-            let here = &mut net.connections[connection].ends[end];
-            let broken = here.broken && !self.has_defect(InjectedDefect::ResetSwallowed);
-            if !here.inbox.is_empty() || here.ended || broken {
+        self.with_net(|net, connection, end| {
+            let lose_wake =
+                self.has_defect(InjectedDefect::WakeLost) && net.rng.random_bool(LOST_WAKE_PROBABILITY);
+            let local = &mut net.connections[connection].ends[end];
+            let broken = local.is_reset && !self.has_defect(InjectedDefect::ResetSwallowed);
+            if !local.receive_buffer.is_empty() || local.peer_finished || broken {
                 return Poll::Ready(());
             }
-            if !lost && !here.reader.iter().any(|waker| waker.will_wake(context.waker())) {
-                here.reader.push(context.waker().clone());
+            if !lose_wake && !local.read_wakers.iter().any(|waker| waker.will_wake(context.waker())) {
+                local.read_wakers.push(context.waker().clone());
             }
             Poll::Pending
         })
     }
 
     fn poll_writable(&self, context: &mut Context<'_>) -> Poll<()> {
-        self.with(|net, connection, end| {
+        self.with_net(|net, connection, end| {
             let window = net.links.window;
             let [first, second] = &mut net.connections[connection].ends;
-            let (here, there) = if end == 0 { (first, second) } else { (second, first) };
-            if here.broken || here.finished || there.inbox.len() + there.flight < window {
+            let (local, peer) = if end == 0 { (first, second) } else { (second, first) };
+            if local.is_reset
+                || local.write_finished
+                || peer.receive_buffer.len() + peer.in_transit_bytes < window
+            {
                 return Poll::Ready(());
             }
-            if !here.writer.iter().any(|waker| waker.will_wake(context.waker())) {
-                here.writer.push(context.waker().clone());
+            if !local.write_wakers.iter().any(|waker| waker.will_wake(context.waker())) {
+                local.write_wakers.push(context.waker().clone());
             }
             Poll::Pending
         })
     }
 
     fn try_read(&self, into: &mut [u8]) -> io::Result<usize> {
-        self.with(|net, connection, end| {
-            let here = &net.connections[connection].ends[end];
-            if here.inbox.is_empty() {
-                return match here {
-                    End { broken: true, .. } if !self.has_defect(InjectedDefect::ResetSwallowed) => {
+        self.with_net(|net, connection, end| {
+            let local = &net.connections[connection].ends[end];
+            if local.receive_buffer.is_empty() {
+                return match local {
+                    End { is_reset: true, .. } if !self.has_defect(InjectedDefect::ResetSwallowed) => {
                         Err(io::ErrorKind::ConnectionReset.into())
                     }
-                    End { ended: true, .. } => Ok(0),
+                    End { peer_finished: true, .. } => Ok(0),
                     _ => Err(io::ErrorKind::WouldBlock.into()),
                 };
             }
-            let there = here.inbox.len().min(into.len());
-            let part = net.part(there);
+            let available = local.receive_buffer.len().min(into.len());
+            let length = net.partial_length(available);
             let [first, second] = &mut net.connections[connection].ends;
-            let (here, other) = if end == 0 { (first, second) } else { (second, first) };
-            for (to, byte) in into.iter_mut().zip(here.inbox.drain(..part)) {
+            let (local, other) = if end == 0 { (first, second) } else { (second, first) };
+            for (to, byte) in into.iter_mut().zip(local.receive_buffer.drain(..length)) {
                 *to = byte;
             }
             other.wake_writer();
-            Ok(part)
+            Ok(length)
         })
     }
 
     fn try_write(&self, bytes: &[u8]) -> io::Result<usize> {
-        let part = self.with(|net, connection, end| {
-            let (here, there) =
+        let length = self.with_net(|net, connection, end| {
+            let (local, peer) =
                 (&net.connections[connection].ends[end], &net.connections[connection].ends[1 - end]);
-            if here.broken || here.finished {
+            if local.is_reset || local.write_finished {
                 return Err(io::Error::from(io::ErrorKind::BrokenPipe));
             }
-            let room = net.links.window.saturating_sub(there.inbox.len() + there.flight);
-            if room == 0 {
+            let window_space =
+                net.links.window.saturating_sub(peer.receive_buffer.len() + peer.in_transit_bytes);
+            if window_space == 0 {
                 return Err(io::ErrorKind::WouldBlock.into());
             }
-            Ok(net.part(room.min(bytes.len())))
+            Ok(net.partial_length(window_space.min(bytes.len())))
         })?;
-        self.sim.send(self.connection, self.end, Segment::Bytes(bytes[..part].to_vec()));
-        let less = part > 1
+        self.sim.send(self.connection, self.end, Segment::Bytes(bytes[..length].to_vec()));
+        let under_report = length > 1
             && self.has_defect(InjectedDefect::ByteDoubled)
-            && self.with(|net, _, _| net.rng.random_bool(0.01));
-        Ok(part - usize::from(less))
+            && self.with_net(|net, _, _| net.rng.random_bool(DOUBLED_BYTE_PROBABILITY));
+        Ok(length - usize::from(under_report))
     }
 
     fn finish(&self) -> io::Result<()> {
-        let new = self.with(|net, connection, end| {
-            let here = &mut net.connections[connection].ends[end];
-            if here.broken {
+        let first_finish = self.with_net(|net, connection, end| {
+            let local = &mut net.connections[connection].ends[end];
+            if local.is_reset {
                 return Err(io::Error::from(io::ErrorKind::NotConnected));
             }
-            Ok(!std::mem::replace(&mut here.finished, true))
+            Ok(!std::mem::replace(&mut local.write_finished, true))
         })?;
-        if new && !self.has_defect(InjectedDefect::EndSwallowed) {
+        if first_finish && !self.has_defect(InjectedDefect::EndSwallowed) {
             self.sim.send(self.connection, self.end, Segment::Fin);
         }
         Ok(())
     }
 
     fn reset_on_close(&self) {
-        self.with(|net, connection, end| net.connections[connection].ends[end].reset_on_close = true);
+        self.with_net(|net, connection, end| net.connections[connection].ends[end].reset_on_close = true);
     }
 }
 
@@ -585,15 +605,15 @@
         let Some(listener) = net.listeners.get_mut(&self.address) else {
             return Poll::Ready(Err(io::ErrorKind::NotConnected.into()));
         };
-        if listener.pending.is_empty() {
+        if listener.accept_queue.is_empty() {
             listener.waker = Some(context.waker().clone());
             return Poll::Pending;
         }
-        let descriptor = match Descriptor::take(&self.process) {
+        let descriptor = match Descriptor::acquire(&self.process) {
             Ok(descriptor) => descriptor,
             Err(e) => return Poll::Ready(Err(e)),
         };
-        let connection = listener.pending.pop_front().unwrap_or_default();
+        let connection = listener.accept_queue.pop_front().unwrap_or_default();
         let stream = SimStream { sim: self.sim.clone(), connection, end: 1, descriptor };
         Poll::Ready(Ok((TcpStream::from_io(stream), self.address)))
     }
@@ -607,20 +627,20 @@
     fn drop(&mut self) {
         let pending = {
             let mut net = self.sim.net.borrow_mut();
-            net.listeners.remove(&self.address).map(|listener| listener.pending).unwrap_or_default()
+            net.listeners.remove(&self.address).map(|listener| listener.accept_queue).unwrap_or_default()
         };
         pending.into_iter().for_each(|connection| self.sim.close(connection, 1, true));
     }
 }
 
-/// One process's view of the world.
+/// The simulated machine as one process sees it.
 struct SimMachine {
     sim: Rc<Sim>,
     id: ProcessId,
     process: Rc<Process>,
 }
 
-/// A connect on its way: dropped early, it leaves nothing open.
+/// A connect in progress. Dropping it early leaves nothing open.
 struct Connecting {
     sim: Rc<Sim>,
     from: ProcessId,
@@ -629,37 +649,40 @@
     stage: Stage,
 }
 
+/// Stages of a connect.
 enum Stage {
-    /// Until it is there.
-    Going(Sleep),
-    /// Nobody answers there.
-    Lost,
-    /// The answer is on its way back: a connection or a refusal.
-    Coming(Sleep, Option<SimStream>),
+    /// The connect is in transit to the server.
+    Outbound(Sleep),
+    /// No machine answers the connect.
+    Unanswered,
+    /// The answer, a connection or a refusal, is in transit to the client.
+    Returning(Sleep, Option<SimStream>),
 }
 
 impl Connecting {
-    /// It is there: accepted, refused, or lost.
-    fn arrive(&mut self, context: &mut Context<'_>) -> Stage {
+    /// The connect reaches the server, which accepts it, refuses it or leaves it unanswered.
+    fn reach_server(&mut self, context: &mut Context<'_>) -> Stage {
         let now = self.sim.now();
-        let machine = self.sim.net.borrow().machines.get(&self.to.ip()).copied();
-        let Some(machine) = machine else { return Stage::Lost };
+        let machine = self.sim.net.borrow().address_owners.get(&self.to.ip()).copied();
+        let Some(machine) = machine else { return Stage::Unanswered };
         let mut net = self.sim.net.borrow_mut();
-        if net.processes[machine].silent.get() || net.processes[self.from].silent.get() {
-            let blocked = if net.processes[machine].silent.get() { machine } else { self.from };
-            net.waiting.push((blocked, context.waker().clone()));
-            return Stage::Lost;
+        if net.processes[machine].partitioned.get() || net.processes[self.from].partitioned.get() {
+            let blocked = if net.processes[machine].partitioned.get() { machine } else { self.from };
+            net.blocked_connects.push((blocked, context.waker().clone()));
+            return Stage::Unanswered;
         }
-        let back = now + net.delay(machine, self.from);
-        let listener = net.listeners.get(&self.to).map(|l| (l.process, l.pending.len() < l.backlog));
-        let Some((process, room)) = listener else { return Stage::Coming(self.sim.sleep(back), None) };
-        if !room {
-            return Stage::Lost;
+        let returns_at = now + net.link_delay(machine, self.from);
+        let listener = net.listeners.get(&self.to).map(|l| (l.process, l.accept_queue.len() < l.backlog));
+        let Some((process, backlog_has_space)) = listener else {
+            return Stage::Returning(self.sim.sleep(returns_at), None);
+        };
+        if !backlog_has_space {
+            return Stage::Unanswered;
         }
         drop(net);
-        let connection = self.sim.connected(self.from, process);
+        let connection = self.sim.create_connection(self.from, process);
         if let Some(listener) = self.sim.net.borrow_mut().listeners.get_mut(&self.to) {
-            listener.pending.push_back(connection);
+            listener.accept_queue.push_back(connection);
             listener.waker.take().into_iter().for_each(Waker::wake);
         }
         let stream = self.descriptor.take().map(|descriptor| SimStream {
@@ -668,7 +691,7 @@
             end: 0,
             descriptor,
         });
-        Stage::Coming(self.sim.sleep(back), stream)
+        Stage::Returning(self.sim.sleep(returns_at), stream)
     }
 }
 
@@ -678,27 +701,27 @@
     fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Self::Output> {
         loop {
             match &mut self.stage {
-                Stage::Going(sleep) => {
+                Stage::Outbound(sleep) => {
                     std::task::ready!(Pin::new(sleep).poll(context));
-                    self.stage = self.arrive(context);
-                    if matches!(self.stage, Stage::Lost) {
+                    self.stage = self.reach_server(context);
+                    if matches!(self.stage, Stage::Unanswered) {
                         return Poll::Pending;
                     }
                 }
-                // Polled again because the machine is back: what it knows nothing of it resets.
-                Stage::Lost => {
+                // A connect is polled again when a partition ends. The server resets it, as it never saw it.
+                Stage::Unanswered => {
                     let net = self.sim.net.borrow();
-                    let machine = net.machines.get(&self.to.ip());
-                    let back = machine.is_some_and(|&m| !net.processes[m].silent.get());
-                    return match back && !net.processes[self.from].silent.get() {
+                    let machine = net.address_owners.get(&self.to.ip());
+                    let reachable = machine.is_some_and(|&m| !net.processes[m].partitioned.get());
+                    return match reachable && !net.processes[self.from].partitioned.get() {
                         true => Poll::Ready(Err(io::ErrorKind::ConnectionReset.into())),
                         false => Poll::Pending,
                     };
                 }
-                Stage::Coming(sleep, stream) => {
+                Stage::Returning(sleep, stream) => {
                     std::task::ready!(Pin::new(sleep).poll(context));
-                    let made = stream.take().map(TcpStream::from_io);
-                    return Poll::Ready(made.ok_or_else(|| io::ErrorKind::ConnectionRefused.into()));
+                    let connected = stream.take().map(TcpStream::from_io);
+                    return Poll::Ready(connected.ok_or_else(|| io::ErrorKind::ConnectionRefused.into()));
                 }
             }
         }
@@ -711,44 +734,47 @@
     }
 
     fn sleep_until(&self, at: Micros) -> Local<'static, ()> {
-        let late =
-            if self.process.injected_defect == Some(InjectedDefect::TimerLate) { 1_500_000 } else { 0 };
-        Box::pin(self.sim.sleep(at + late))
+        let delay = if self.process.injected_defect == Some(InjectedDefect::TimerLate) {
+            LATE_TIMER_DELAY_US
+        } else {
+            0
+        };
+        Box::pin(self.sim.sleep(at + delay))
     }
 
     fn spawn(&self, task: Local<'static, ()>) {
-        // A process that has ended runs nothing more, whatever its last drops ask for.
+        // A process that has ended starts no task, even if a value that it drops spawns one.
         if self.process.alive.get() {
             self.sim.spawn(self.id, task);
         }
     }
 
     fn connect(&self, to: SocketAddr) -> Local<'static, io::Result<TcpStream>> {
-        let descriptor = match Descriptor::take(&self.process) {
+        let descriptor = match Descriptor::acquire(&self.process) {
             Ok(descriptor) => Some(descriptor),
             Err(e) => return Box::pin(std::future::ready(Err(e))),
         };
-        let there = {
+        let arrives_at = {
             let mut net = self.sim.net.borrow_mut();
-            let machine = net.machines.get(&to.ip()).copied().unwrap_or(self.id);
+            let machine = net.address_owners.get(&to.ip()).copied().unwrap_or(self.id);
             self.sim.observer.borrow_mut().connecting(self.id, machine);
-            self.sim.now() + net.delay(self.id, machine)
+            self.sim.now() + net.link_delay(self.id, machine)
         };
-        let stage = Stage::Going(self.sim.sleep(there));
+        let stage = Stage::Outbound(self.sim.sleep(arrives_at));
         Box::pin(Connecting { sim: self.sim.clone(), from: self.id, to, descriptor, stage })
     }
 
     fn listen(&self, at: SocketAddr, backlog: i32, _: bool) -> io::Result<TcpListener> {
-        let descriptor = Descriptor::take(&self.process)?;
+        let descriptor = Descriptor::acquire(&self.process)?;
         let mut net = self.sim.net.borrow_mut();
         if net.listeners.contains_key(&at) {
             return Err(io::ErrorKind::AddrInUse.into());
         }
-        net.machines.insert(at.ip(), self.id);
+        net.address_owners.insert(at.ip(), self.id);
         let listener = Listener {
             process: self.id,
             backlog: backlog.max(1) as usize,
-            pending: VecDeque::new(),
+            accept_queue: VecDeque::new(),
             waker: None,
         };
         net.listeners.insert(at, listener);
@@ -768,10 +794,10 @@
     }
 
     fn env_var(&self, name: &str) -> Option<String> {
-        self.process.variables.get(name).cloned()
+        self.process.env_vars.get(name).cloned()
     }
 
     fn reserve_descriptor(&self) -> Option<Box<dyn Any>> {
-        Descriptor::take(&self.process).ok().map(|descriptor| Box::new(descriptor) as Box<dyn Any>)
+        Descriptor::acquire(&self.process).ok().map(|descriptor| Box::new(descriptor) as Box<dyn Any>)
     }
 }
--- a/crates/world/src/run.rs
+++ b/crates/world/src/run.rs
@@ -175,8 +175,8 @@
 /// Plays a script to its end.
 pub fn play(script: &Script, options: &Options) -> Report {
     let links = LinkConditions {
-        same: script.links.same_us,
-        cross: script.links.cross_us,
+        same_zone_delay: script.links.same_us,
+        cross_zone_delay: script.links.cross_us,
         jitter: script.links.jitter,
         window: script.links.window,
         partial: script.links.partial,
@@ -680,8 +680,14 @@
 
 /// The host of a world of its own, to try something small on a virtual clock.
 pub fn single_process(seed: u64) -> (Rc<Sim>, Host) {
-    let links =
-        LinkConditions { same: 100, cross: 1_000, jitter: 0.0, window: 65_536, partial: 0.0, lossy: 0.0 };
+    let links = LinkConditions {
+        same_zone_delay: 100,
+        cross_zone_delay: 1_000,
+        jitter: 0.0,
+        window: 65_536,
+        partial: 0.0,
+        lossy: 0.0,
+    };
     let cold = SlowStartRule { from: 0.3, warm: 9_000_000, multiple: 4.0, fall: 1_500_000 };
     let observer = Observer::new(0, &[], cold, Trace::None);
     let sim = Sim::new(seed, Net::new(links, stream(seed, "links")), observer);
