--- a/crates/world/src/sim.rs
+++ b/crates/world/src/sim.rs
@@ -1,5 +1,5 @@
-//! The virtual clock and its tasks. One thread, one event at a time: what falls due in the same instant, and
-//! tasks that are ready together, run in an order that the seed draws.
+//! The virtual clock and the task scheduler. Everything runs on one thread, one event at a time. Events that
+//! are due in the same instant, and tasks that are ready together, run in a random order drawn from the seed.
 
 use crate::net::Net;
 use crate::observer::Observer;
@@ -16,36 +16,38 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::task::{Context, Poll, Wake, Waker};
 
-/// Where the virtual clock starts: a Unix time, so that nothing takes it for "long ago"; microseconds.
+/// Start of the virtual clock; Unix time in microseconds. It is far from zero, so that no code takes a time
+/// near the start of a run for one long past.
 pub const EPOCH: Micros = 1_700_000_000_000_000;
-/// Polls within one instant after which the world is deemed never to come to rest.
-const RESTLESS: u32 = 200_000;
+/// Polls within one instant after which a run counts as never idle.
+const MAX_POLLS_PER_INSTANT: u32 = 200_000;
 
-/// Number of a process; never reused within a run.
+/// Number of a process, never reused within a run.
 pub type ProcessId = usize;
 
 type TaskKey = usize;
 
-/// What happens at a time.
+/// An event in the queue.
 pub enum Due {
-    /// Somebody who slept wakes up.
+    /// Wakes a sleeping task.
     Wake(Waker),
-    /// Something is done.
+    /// Runs a closure.
     Call(Box<dyn FnOnce()>),
-    /// What is first on the way to that end of that connection arrives there.
+    /// Delivers the first segment in transit on a connection (its number) to one of its ends (0 or 1).
     Deliver(usize, usize),
 }
 
-/// A place in the queue: time, the seed's order within it, and a number that tells entries apart.
+/// Position in the event queue: the time, a random order within the same time, and a unique number.
 pub type Key = (Micros, u32, u64);
 
-struct TaskWake {
+struct TaskWaker {
     key: TaskKey,
+    /// Whether the task is in `ready` already.
     queued: AtomicBool,
     ready: Arc<Mutex<Vec<TaskKey>>>,
 }
 
-impl Wake for TaskWake {
+impl Wake for TaskWaker {
     fn wake(self: Arc<Self>) {
         self.wake_by_ref();
     }
@@ -57,43 +59,44 @@
     }
 }
 
-struct Running {
+struct Task {
     process: ProcessId,
-    /// Taken out while it is polled.
+    /// `None` while the task is polled.
     future: Option<Local<'static, ()>>,
-    wake: Arc<TaskWake>,
+    wake: Arc<TaskWaker>,
 }
 
-/// One simulated world.
+/// A simulation: the virtual clock, its event queue, the tasks, and the network.
 pub struct Sim {
     now: Cell<Micros>,
     queue: RefCell<BTreeMap<Key, Due>>,
-    next: Cell<u64>,
-    order: RefCell<Rng>,
-    tasks: RefCell<Slab<Running>>,
+    next_event: Cell<u64>,
+    /// Random order of events and tasks within one instant.
+    order_rng: RefCell<Rng>,
+    tasks: RefCell<Slab<Task>>,
     ready: Arc<Mutex<Vec<TaskKey>>>,
     /// The network between the processes.
     pub net: RefCell<Net>,
-    /// Who watches what crosses it.
+    /// Checks the rules against all network events.
     pub observer: RefCell<Observer>,
-    polls: Cell<u64>,
-    events: Cell<u64>,
+    poll_count: Cell<u64>,
+    event_count: Cell<u64>,
 }
 
 impl Sim {
-    /// An empty world whose order within instants is drawn from that seed.
+    /// A simulation without processes; `seed` determines the random order within an instant.
     pub fn new(seed: u64, net: Net, observer: Observer) -> Rc<Self> {
         Rc::new(Sim {
             now: Cell::new(EPOCH),
             queue: RefCell::default(),
-            next: Cell::new(0),
-            order: RefCell::new(rng::stream(seed, "order")),
+            next_event: Cell::new(0),
+            order_rng: RefCell::new(rng::stream(seed, "order")),
             tasks: RefCell::default(),
             ready: Arc::default(),
             net: RefCell::new(net),
             observer: RefCell::new(observer),
-            polls: Cell::new(0),
-            events: Cell::new(0),
+            poll_count: Cell::new(0),
+            event_count: Cell::new(0),
         })
     }
 
@@ -102,80 +105,80 @@
         self.now.get()
     }
 
-    /// Polls and events so far.
+    /// Numbers of task polls and of events so far.
     pub fn work(&self) -> (u64, u64) {
-        (self.polls.get(), self.events.get())
+        (self.poll_count.get(), self.event_count.get())
     }
 
-    /// Has that happen at that time, or now if it has passed.
+    /// Schedules an event for that time, or for now if the time has passed.
     pub fn at(&self, at: Micros, due: Due) -> Key {
-        let number = self.next.replace(self.next.get() + 1);
-        let key = (at.max(self.now()), self.order.borrow_mut().random(), number);
+        let number = self.next_event.replace(self.next_event.get() + 1);
+        let key = (at.max(self.now()), self.order_rng.borrow_mut().random(), number);
         self.queue.borrow_mut().insert(key, due);
         key
     }
 
-    /// Has something done at that time.
-    pub fn call(&self, at: Micros, what: impl FnOnce() + 'static) {
-        self.at(at, Due::Call(Box::new(what)));
+    /// Schedules a closure for that time.
+    pub fn call(&self, at: Micros, action: impl FnOnce() + 'static) {
+        self.at(at, Due::Call(Box::new(action)));
     }
 
-    /// A sleep until that time.
+    /// A future that completes at that time.
     pub fn sleep(self: &Rc<Self>, at: Micros) -> Sleep {
         Sleep { sim: self.clone(), at, key: None }
     }
 
-    /// Runs a task that belongs to that process.
+    /// Starts a task that belongs to that process.
     pub fn spawn(&self, process: ProcessId, future: Local<'static, ()>) {
         let mut tasks = self.tasks.borrow_mut();
         let entry = tasks.vacant_entry();
-        let wake = TaskWake { key: entry.key(), queued: AtomicBool::new(false), ready: self.ready.clone() };
+        let wake = TaskWaker { key: entry.key(), queued: AtomicBool::new(false), ready: self.ready.clone() };
         let wake = Arc::new(wake);
-        entry.insert(Running { process, future: Some(future), wake: wake.clone() });
+        entry.insert(Task { process, future: Some(future), wake: wake.clone() });
         wake.wake();
     }
 
-    /// Number of that process's tasks.
+    /// Number of tasks of that process.
     pub fn tasks_of(&self, process: ProcessId) -> usize {
         self.tasks.borrow().iter().filter(|(_, task)| task.process == process).count()
     }
 
-    /// Ends all tasks of a process at once, as a kill does. Never called from within one of them.
+    /// Drops all tasks of a process at once, as a kill does. Must not be called from within one of them.
     pub fn drop_tasks(&self, process: ProcessId) {
         let keys: Vec<_> =
             self.tasks.borrow().iter().filter(|(_, t)| t.process == process).map(|(key, _)| key).collect();
         for key in keys {
-            // A future's drop may reach back into this world: nothing is borrowed then.
+            // Dropping a future may call back into this simulation, so no cell may be borrowed meanwhile.
             let future = self.tasks.borrow_mut().get_mut(key).and_then(|task| task.future.take());
             drop(future);
             self.tasks.borrow_mut().try_remove(key);
         }
     }
 
-    /// Number of processes that were ever started.
+    /// Number of processes started so far, ended ones included.
     pub fn processes(&self) -> usize {
         self.net.borrow().len()
     }
 
-    /// Forgets what is still to happen.
+    /// Discards all events that are still due.
     pub fn clear(&self) {
         let queue = std::mem::take(&mut *self.queue.borrow_mut());
         drop(queue);
     }
 
-    /// Runs until that time; false if the world would not come to rest within one instant.
+    /// Runs until that time. Returns false if tasks never become idle within one instant.
     pub fn run_until(&self, end: Micros) -> bool {
         let mut polls = 0;
         loop {
-            while let Some(key) = self.pick() {
-                self.poll(key);
+            while let Some(key) = self.pick_ready_task() {
+                self.poll_task(key);
                 polls += 1;
-                if polls > RESTLESS {
+                if polls > MAX_POLLS_PER_INSTANT {
                     return false;
                 }
             }
-            let first = self.queue.borrow().first_key_value().map(|(key, _)| *key);
-            match first.filter(|(at, ..)| *at <= end) {
+            let next_key = self.queue.borrow().first_key_value().map(|(key, _)| *key);
+            match next_key.filter(|(at, ..)| *at <= end) {
                 None => {
                     self.advance(end);
                     return true;
@@ -186,10 +189,10 @@
                         self.advance(at);
                     }
                     let due = self.queue.borrow_mut().pop_first();
-                    self.events.set(self.events.get() + 1);
+                    self.event_count.set(self.event_count.get() + 1);
                     match due {
                         Some((_, Due::Wake(waker))) => waker.wake(),
-                        Some((_, Due::Call(what))) => what(),
+                        Some((_, Due::Call(action))) => action(),
                         Some((_, Due::Deliver(connection, end))) => self.deliver(connection, end),
                         None => {}
                     }
@@ -203,27 +206,28 @@
         self.now.set(to);
     }
 
-    /// One of the tasks that are ready, as the seed draws.
-    fn pick(&self) -> Option<TaskKey> {
+    /// Removes a random one of the ready tasks.
+    fn pick_ready_task(&self) -> Option<TaskKey> {
         let mut ready = self.ready.lock().unwrap_or_else(PoisonError::into_inner);
         match ready.len() {
             0 => None,
             1 => ready.pop(),
-            n => {
-                let i = self.order.borrow_mut().random_range(0..n);
+            ready_count => {
+                let i = self.order_rng.borrow_mut().random_range(0..ready_count);
                 Some(ready.swap_remove(i))
             }
         }
     }
 
-    fn poll(&self, key: TaskKey) {
+    fn poll_task(&self, key: TaskKey) {
         let taken = self.tasks.borrow_mut().get_mut(key).and_then(|task| {
             task.wake.queued.store(false, Ordering::Relaxed);
             Some((task.future.take()?, task.wake.clone()))
         });
-        // It ended meanwhile, or the key is another task's now, which is then polled once more than needed.
+        // The task may have ended meanwhile. If another task has its key now, that task is polled once more
+        // than needed.
         let Some((mut future, wake)) = taken else { return };
-        self.polls.set(self.polls.get() + 1);
+        self.poll_count.set(self.poll_count.get() + 1);
         let waker = Waker::from(wake);
         let polled = future.as_mut().poll(&mut Context::from_waker(&waker));
         let mut tasks = self.tasks.borrow_mut();
@@ -238,10 +242,11 @@
     }
 }
 
-/// A sleep; dropped before its time, it leaves nothing in the queue.
+/// A future that completes at a virtual time. Dropping it early removes its event from the queue.
 pub struct Sleep {
     sim: Rc<Sim>,
     at: Micros,
+    /// The event in the queue, once the future has been polled.
     key: Option<Key>,
 }
 
