--- a/crates/world/src/net.rs
+++ b/crates/world/src/net.rs
@@ -140,7 +140,7 @@
     ByteDoubled,
 }
 
-/// A connect that waits until this process is no longer partitioned.
+/// A connect that waits until the partition of a process ends, and the waker of its task.
 type BlockedConnect = (ProcessId, Waker);
 
 /// The network and its processes.
@@ -299,7 +299,8 @@
         self.net.borrow().processes[id].partitioned.set(true);
     }
 
-    /// Ends a partition. Segments that it blocked arrive now; with `reset`, the machine's connections are reset.
+    /// Ends a partition. Segments that it blocked arrive now. With `reset`, the machine's connections are
+    /// reset.
     pub fn heal(self: &Rc<Self>, id: ProcessId, reset: bool) {
         let arrivals: Vec<(usize, usize)> = {
             let mut net = self.net.borrow_mut();
--- a/crates/world/src/run.rs
+++ b/crates/world/src/run.rs
@@ -1,4 +1,5 @@
-//! Plays a script: starts all parties on the virtual clock, brings the faults about, and asks the observer.
+//! Runs a script in simulation: starts all processes on the virtual clock, injects the faults, and collects
+//! the observer's findings.
 
 use crate::backend::{Backend, Degradation, SlowStart, capacity};
 use crate::client::{Client, Outcome, ProxySelector};
@@ -18,96 +19,102 @@
 use std::path::Path;
 use std::rc::Rc;
 
-/// Names of the zones.
-const ZONES: [&str; 3] = ["gent", "antwerpen", "luik"];
-/// Mean life that turns a node's capacity into a rate of connections; seconds.
-const LIFE: f64 = 15.0;
-/// Where a proxy's config lies on its machine.
-const CONFIG: &str = "/run/config.json";
-/// After the last event of a run, what is under way has this long to end; microseconds.
-const SETTLE: Micros = 12_000_000;
-/// The front notices a planned stop after this; microseconds.
-const STOP_SEEN: std::ops::Range<Micros> = 200_000..400_000;
-/// It notices a dead proxy after this; microseconds.
-const DEAD_SEEN: std::ops::Range<Micros> = 1_100_000..3_200_000;
-/// Discovery tells of a process that died, of a machine that is silent, and of a new one after these.
-const DEATH_TOLD: std::ops::Range<Micros> = 1_000_000..3_600_000;
-/// Of a silent machine.
-const SILENCE_TOLD: std::ops::Range<Micros> = 6_000_000..13_000_000;
-/// Of one that came.
-const START_TOLD: std::ops::Range<Micros> = 300_000..1_400_000;
-/// The kill comes this long after the longest deadline, which counts as three seconds at most; microseconds.
-const KILL_SLACK: Micros = 700_000;
-
-/// Builds a proxy's parts from its config; the usual ones, or ones with a planted defect.
+/// Names of the zones, by zone number.
+const ZONE_NAMES: [&str; 3] = ["gent", "antwerpen", "luik"];
+/// Mean lifetime of a connection, which turns a backend's capacity into a rate of connections.
+const MEAN_LIFETIME_SECONDS: f64 = 15.0;
+/// Path of a proxy's config file on its machine.
+const CONFIG_PATH: &str = "/run/config.json";
+/// Time after the last event of a run in which requests and connections in progress must end.
+const SETTLE_TIME_US: Micros = 12_000_000;
+/// Time until clients' proxy selection notices a planned stop of a proxy.
+const STOP_DETECTION_US: std::ops::Range<Micros> = 200_000..400_000;
+/// Time until clients' proxy selection notices a killed proxy.
+const KILL_DETECTION_US: std::ops::Range<Micros> = 1_100_000..3_200_000;
+/// Time until discovery reports a backend whose process died.
+const CRASH_REPORT_DELAY_US: std::ops::Range<Micros> = 1_000_000..3_600_000;
+/// Time until discovery reports a backend whose machine is partitioned.
+const PARTITION_REPORT_DELAY_US: std::ops::Range<Micros> = 6_000_000..13_000_000;
+/// Time until discovery reports a backend that started or is reachable again.
+const START_REPORT_DELAY_US: std::ops::Range<Micros> = 300_000..1_400_000;
+/// Time from the longest deadline, which counts as at most `MAX_STOP_DEADLINE_US`, until a stopping proxy is
+/// killed.
+const KILL_SLACK_US: Micros = 700_000;
+/// Longest deadline that a planned stop waits for.
+const MAX_STOP_DEADLINE_US: Micros = 3_000_000;
+
+/// Builds a proxy's components from its config, either the real ones or ones with an injected defect.
 pub type ComponentFactory = Rc<dyn Fn(&config::Config) -> Result<Components, String>>;
 
-/// What a run came to.
+/// Result of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// Broken rules.
+    /// Violations of the rules.
     #[serde(rename = "breaches")]
     pub violations: Vec<Violation>,
-    /// One hash of everything that crossed the sockets, with its times.
+    /// Hash of all network events and their times.
     pub digest: u64,
-    /// What it held.
+    /// Counts of connections, requests and events.
     pub counts: Counts,
-    /// Polls of tasks, and events.
+    /// Numbers of task polls and of events.
     pub work: (u64, u64),
-    /// What came of each submitter.
+    /// Outcome of each client, in the order of the script.
     pub outcomes: Vec<Outcome>,
-    /// Virtual time; microseconds.
+    /// Virtual length of the run; microseconds.
     pub length: Micros,
-    /// Everything that crossed the sockets, where it was asked for.
+    /// All network events as text, if the options ask for them.
     #[serde(skip)]
     pub trace_lines: Vec<String>,
 }
 
 impl Report {
-    /// Share of the time that usual submitters wanted in which they were served, times the share of lines that
-    /// were answered in time.
+    /// Quality of service for well-behaved clients; see `service`.
     pub fn service(&self) -> f64 {
         service(&self.outcomes)
     }
 }
 
-/// Share of the time that usual submitters wanted in which they were served, times the share of lines that were
-/// answered in time.
+/// Quality of service for well-behaved clients: the share of their wanted connection time in which they were
+/// served, times the share of their lines that were answered in time.
 pub fn service(outcomes: &[Outcome]) -> f64 {
-    let sum = |part: fn(&Outcome) -> f64| outcomes.iter().map(part).sum::<f64>();
+    let sum = |value: fn(&Outcome) -> f64| outcomes.iter().map(value).sum::<f64>();
     let (stood, wanted) = (sum(|o| o.stood as f64), sum(|o| o.wanted as f64));
     let (in_time, lines) = (sum(|o| f64::from(o.in_time)), sum(|o| f64::from(o.lines)));
     if wanted == 0.0 || lines == 0.0 { 0.0 } else { stood / wanted * in_time / lines }
 }
 
-/// How to play.
+/// Options of a run.
 #[derive(Clone, Default)]
 pub struct Options {
-    /// What becomes of everything that crosses the sockets.
+    /// What happens to the trace of network events.
     pub trace: Trace,
-    /// Builds the proxies; the usual way where there is none.
+    /// Builds the proxies' components; `Components::from_config` if `None`.
     pub build: Option<ComponentFactory>,
-    /// Planted in the proxies' sockets and timers.
+    /// Defect injected into the proxies' sockets and timers.
     pub injected_defect: Option<InjectedDefect>,
 }
 
+/// A script in progress.
 struct World {
     script: Script,
     sim: Rc<Sim>,
     endpoint_store: Rc<EndpointStore>,
     service: RefCell<Option<Rc<Service>>>,
     discovery: Cell<ProcessId>,
-    /// Where discovery is now: moves with each reload.
-    place: Cell<u8>,
+    /// Index of discovery's current address; each reload moves discovery to the next one.
+    discovery_index: Cell<u8>,
     degradations: Vec<Rc<Degradation>>,
-    late: Rc<Cell<Micros>>,
+    /// Delay of all backends' load reports, shared with their degradations.
+    load_report_delay: Rc<Cell<Micros>>,
     backends: RefCell<Vec<(ProcessId, Rc<Backend>)>>,
-    truths: RefCell<Vec<BackendState>>,
+    backend_states: RefCell<Vec<BackendState>>,
     proxy_selector: Rc<ProxySelector>,
     rng: RefCell<Rng>,
-    build: ComponentFactory,
+    component_factory: ComponentFactory,
     injected_defect: Option<InjectedDefect>,
-    starts: Cell<u64>,
+    /// Number of proxy starts so far.
+    proxy_starts: Cell<u64>,
+    /// For each proxy, whether its process has ended.
     ended: RefCell<Vec<bool>>,
 }
 
@@ -119,11 +126,11 @@
     SocketAddr::new(IpAddr::V4(Ipv4Addr::new(10, 1, 0, index as u8 + 1)), 7070)
 }
 
-fn discovery_address(place: u8) -> SocketAddr {
-    SocketAddr::new(IpAddr::V4(Ipv4Addr::new(10, 2, 0, place + 1)), 8500)
+fn discovery_address(index: u8) -> SocketAddr {
+    SocketAddr::new(IpAddr::V4(Ipv4Addr::new(10, 2, 0, index + 1)), 8500)
 }
 
-/// What discovery says of an execute node at that address.
+/// Discovery's entry for a backend at that address.
 pub(crate) fn entry(
     script: &Script,
     index: usize,
@@ -135,14 +142,14 @@
     Entry {
         name: spec.name.clone(),
         address: address.to_string(),
-        zone: ZONES[spec.zone].into(),
+        zone: ZONE_NAMES[spec.zone].into(),
         status,
         weight: f64::from(spec.cores),
         since_ms: since.map_or(0, |at| at / 1_000),
     }
 }
 
-/// The config of a proxy as the platform writes it.
+/// Text of a proxy's config file.
 pub(crate) fn config_text(
     script: &Script,
     index: usize,
@@ -155,7 +162,7 @@
     let seconds = |ms: u64| ms as f64 / 1e3;
     let settings = serde_json::json!({
         "balancers": script.proxies.len(),
-        "zone": ZONES[spec.zone], "zones": ZONES, "membership-mode": "ask", "weights": "nominal",
+        "zone": ZONE_NAMES[spec.zone], "zones": ZONE_NAMES, "membership-mode": "ask", "weights": "nominal",
         "bounds": {"max-attempts": 4, "connect-timeout": 0.2, "retry-after": true, "max-retry-after": 2.0,
                    "may-probe": true},
         "classes": [{"name": "status-feed", "target": seconds(contract.target_ms),
@@ -172,7 +179,7 @@
     )
 }
 
-/// Plays a script to its end.
+/// Runs a script to its end.
 pub fn play(script: &Script, options: &Options) -> Report {
     let links = LinkConditions {
         same_zone_delay: script.links.same_us,
@@ -183,43 +190,43 @@
         lossy: script.links.lossy,
     };
     let contract = &script.contract;
-    let cold = SlowStartRule {
+    let slow_start_rule = SlowStartRule {
         from: contract.cold_from,
         warm: contract.cold_ms * 1_000,
         multiple: contract.fall_multiple,
         fall: contract.fall_ms * 1_000,
     };
     let names: Vec<String> = script.backends.iter().map(|backend| backend.name.clone()).collect();
-    let observer = Observer::new(script.proxies.len(), &names, cold, options.trace);
+    let observer = Observer::new(script.proxies.len(), &names, slow_start_rule, options.trace);
     let sim = Sim::new(script.order, Net::new(links, stream(script.order, "links")), observer);
     let entries = script.backends.iter().enumerate().map(|(i, backend)| Entry {
         name: backend.name.clone(),
         address: backend_address(i).to_string(),
-        zone: ZONES[backend.zone].into(),
+        zone: ZONE_NAMES[backend.zone].into(),
         status: "ready",
         weight: f64::from(backend.cores),
         since_ms: 0,
     });
-    let late = Rc::new(Cell::new(0));
+    let load_report_delay = Rc::new(Cell::new(0));
     let world = Rc::new(World {
         script: script.clone(),
         sim: sim.clone(),
         endpoint_store: EndpointStore::new(entries.collect()),
         service: RefCell::default(),
         discovery: Cell::new(0),
-        place: Cell::new(0),
-        degradations: names.iter().map(|_| Degradation::none(late.clone())).collect(),
-        late,
+        discovery_index: Cell::new(0),
+        degradations: names.iter().map(|_| Degradation::none(load_report_delay.clone())).collect(),
+        load_report_delay,
         backends: RefCell::default(),
-        truths: RefCell::new(vec![BackendState::default(); names.len()]),
+        backend_states: RefCell::new(vec![BackendState::default(); names.len()]),
         proxy_selector: Rc::default(),
         rng: RefCell::new(stream(script.order, "director")),
-        build: options.build.clone().unwrap_or_else(|| Rc::new(Components::from_config)),
+        component_factory: options.build.clone().unwrap_or_else(|| Rc::new(Components::from_config)),
         injected_defect: options.injected_defect,
-        starts: Cell::new(0),
+        proxy_starts: Cell::new(0),
         ended: RefCell::new(vec![false; script.proxies.len()]),
     });
-    let panics = crate::panics::panic_count();
+    let panics_before = crate::panics::panic_count();
     crate::panics::set_simulating(true);
     world.start_discovery();
     (0..names.len()).for_each(|index| world.start_backend(index, None));
@@ -232,24 +239,25 @@
         world.start_proxy(index);
     }
     let clients = world.start_clients();
-    script.faults.iter().for_each(|fault| world.clone().plan(fault));
+    script.faults.iter().for_each(|fault| world.clone().schedule_fault(fault));
     let end = EPOCH + script.length_ms * 1_000;
-    let mut rested = sim.run_until(end);
-    // All submitters end by their own lives; then everything comes to rest, and nothing may be left.
-    let lives = clients.iter().map(|s| s.spec.at_ms + s.spec.life_ms).max().unwrap_or(0);
-    let quiet = (EPOCH + lives * 1_000).max(end) + SETTLE;
-    rested = rested && sim.run_until(quiet);
-    if rested {
-        world.look_for_leftovers();
-        rested = world.stop_all(quiet);
+    let mut became_idle = sim.run_until(end);
+    // All clients end by themselves. After that the proxies become idle and must hold nothing any more.
+    let last_client_end_ms =
+        clients.iter().map(|client| client.spec.at_ms + client.spec.life_ms).max().unwrap_or(0);
+    let idle_at = (EPOCH + last_client_end_ms * 1_000).max(end) + SETTLE_TIME_US;
+    became_idle = became_idle && sim.run_until(idle_at);
+    if became_idle {
+        world.check_leftovers();
+        became_idle = world.stop_all(idle_at);
     }
-    if !rested {
+    if !became_idle {
         let at = sim.now() - EPOCH;
         sim.observer
             .borrow_mut()
-            .report_violation(Rule::Restless, format!("no rest within the instant {at} us"));
+            .report_violation(Rule::Restless, format!("tasks never become idle within the instant {at} us"));
     }
-    let panics = crate::panics::panic_count() - panics;
+    let panics = crate::panics::panic_count() - panics_before;
     if panics > 0 {
         sim.observer
             .borrow_mut()
@@ -262,35 +270,36 @@
             digest: observer.digest(),
             counts: observer.counts,
             work: sim.work(),
-            outcomes: clients.iter().map(|s| s.outcome.borrow().clone()).collect(),
+            outcomes: clients.iter().map(|client| client.outcome.borrow().clone()).collect(),
             length: sim.now() - EPOCH,
             trace_lines: observer.trace_lines.clone(),
         }
     };
-    world.take_down();
+    world.shut_down();
     crate::panics::set_simulating(false);
     report
 }
 
 impl World {
+    /// Draws a random time from a range.
     fn draw(&self, range: std::ops::Range<Micros>) -> Micros {
         self.rng.borrow_mut().random_range(range)
     }
 
-    /// Does something at that time of the script.
-    fn at(self: &Rc<Self>, ms: u64, what: impl FnOnce(&Rc<World>) + 'static) {
+    /// Schedules `action` for that time of the script.
+    fn at(self: &Rc<Self>, ms: u64, action: impl FnOnce(&Rc<World>) + 'static) {
         let world = self.clone();
-        self.sim.call(EPOCH + ms * 1_000, move || what(&world));
+        self.sim.call(EPOCH + ms * 1_000, move || action(&world));
     }
 
-    /// Does something after that long.
-    fn after(self: &Rc<Self>, span: Micros, what: impl FnOnce(&Rc<World>) + 'static) {
+    /// Schedules `action` after a delay.
+    fn after(self: &Rc<Self>, delay: Micros, action: impl FnOnce(&Rc<World>) + 'static) {
         let world = self.clone();
-        self.sim.call(self.sim.now() + span, move || what(&world));
+        self.sim.call(self.sim.now() + delay, move || action(&world));
     }
 
     fn start_discovery(self: &Rc<Self>) {
-        let address = discovery_address(self.place.get());
+        let address = discovery_address(self.discovery_index.get());
         let (id, host) = self.sim.start(ProcessOptions::plain("discovery", 0, address.ip()));
         self.sim.observer.borrow_mut().register_process(id, Role::Discovery, "discovery");
         self.discovery.set(id);
@@ -321,15 +330,16 @@
             backends.push((id, backend))
         }
         drop(backends);
-        self.truth(index, |truth| {
-            *truth = BackendState { answers: true, cold_since, rate: capacity(spec) / LIFE };
+        self.update_backend_state(index, |state| {
+            *state = BackendState { answers: true, cold_since, rate: capacity(spec) / MEAN_LIFETIME_SECONDS };
         });
     }
 
-    fn truth(&self, index: usize, change: impl FnOnce(&mut BackendState)) {
-        let mut truths = self.truths.borrow_mut();
-        change(&mut truths[index]);
-        self.sim.observer.borrow_mut().backend(index, truths[index]);
+    /// Changes what the observer knows of a backend's state.
+    fn update_backend_state(&self, index: usize, change: impl FnOnce(&mut BackendState)) {
+        let mut states = self.backend_states.borrow_mut();
+        change(&mut states[index]);
+        self.sim.observer.borrow_mut().backend(index, states[index]);
     }
 
     fn entry(&self, index: usize, status: &'static str, since: Option<Micros>) -> Entry {
@@ -337,9 +347,11 @@
     }
 
     fn config(&self, index: usize) -> String {
-        // A start of its own draws numbers of its own.
-        let seed = self.script.proxies[index].seed.wrapping_add(self.starts.replace(self.starts.get() + 1));
-        let discovery = discovery_address(self.place.get());
+        // Each start of a proxy gets its own seed.
+        let seed = self.script.proxies[index]
+            .seed
+            .wrapping_add(self.proxy_starts.replace(self.proxy_starts.get() + 1));
+        let discovery = discovery_address(self.discovery_index.get());
         config_text(
             &self.script,
             index,
@@ -356,39 +368,42 @@
         let mut options = ProcessOptions::plain(&name, spec.zone, address.ip());
         options.descriptors = spec.descriptors;
         options.injected_defect = self.injected_defect;
-        options.files.insert(CONFIG.into(), self.config(index).into_bytes());
+        options.files.insert(CONFIG_PATH.into(), self.config(index).into_bytes());
         let (id, host) = self.sim.start(options);
         self.sim.observer.borrow_mut().register_process(id, Role::Proxy(index), &name);
         self.ended.borrow_mut()[index] = false;
-        let read = config::read(&host, Path::new(CONFIG));
-        let parts =
-            read.and_then(|config| Ok((SignalHandlers::install(&host)?, (self.build)(&config)?, config)));
+        let config = config::read(&host, Path::new(CONFIG_PATH));
+        let components = config.and_then(|config| {
+            Ok((SignalHandlers::install(&host)?, (self.component_factory)(&config)?, config))
+        });
         let world = self.clone();
         let machine = host.clone();
         host.spawn(async move {
-            let ended = match parts {
-                Ok((handlers, parts, config)) => pierloom_proxy::run(machine, handlers, config, parts).await,
-                Err(fault) => Err(fault),
+            let result = match components {
+                Ok((handlers, components, config)) => {
+                    pierloom_proxy::run(machine, handlers, config, components).await
+                }
+                Err(error) => Err(error),
             };
-            world.after(0, move |world| world.proxy_ended(index, id, ended));
+            world.after(0, move |world| world.proxy_ended(index, id, result));
         });
         let world = self.clone();
-        self.after(0, move |_| world.let_in(index, address));
+        self.after(0, move |_| world.enable_when_answering(index, address));
     }
 
-    /// The front takes a proxy in once it has answered.
-    fn let_in(self: &Rc<Self>, index: usize, address: SocketAddr) {
+    /// Lets clients select a proxy once it answers a PING.
+    fn enable_when_answering(self: &Rc<Self>, index: usize, address: SocketAddr) {
         let (_, host) =
             self.sim.start(ProcessOptions::plain("front", 0, IpAddr::V4(Ipv4Addr::new(10, 3, 0, 1))));
         let (world, machine) = (self.clone(), host.clone());
         host.spawn(async move {
             for _ in 0..100 {
-                let asked = async {
+                let ping = async {
                     let mut lines = Lines::new(machine.connect(address).await.ok()?);
                     write(&lines.stream, b"PING\r\n").await.ok()?;
                     lines.next().await
                 };
-                let answer = within(&machine, machine.now() + 1_000_000, asked).await.flatten();
+                let answer = within(&machine, machine.now() + 1_000_000, ping).await.flatten();
                 if answer.as_deref() == Some("PONG") {
                     world.proxy_selector.proxies.borrow_mut()[index].2 = true;
                     return;
@@ -398,12 +413,12 @@
         });
     }
 
-    fn proxy_ended(self: &Rc<Self>, index: usize, id: ProcessId, ended: Result<(), String>) {
+    fn proxy_ended(self: &Rc<Self>, index: usize, id: ProcessId, result: Result<(), String>) {
         if self.sim.observer.borrow().process_of(index) != id || self.ended.borrow()[index] {
             return;
         }
-        if let Err(fault) = ended {
-            self.sim.observer.borrow_mut().report_violation(Rule::Exit, format!("proxy {index}: {fault}"));
+        if let Err(error) = result {
+            self.sim.observer.borrow_mut().report_violation(Rule::Exit, format!("proxy {index}: {error}"));
         }
         self.sim.observer.borrow_mut().exited(index);
         self.ended.borrow_mut()[index] = true;
@@ -417,10 +432,10 @@
         }
         self.sim.observer.borrow_mut().stop_requested(index);
         self.sim.signal(id, Signal::Terminate);
-        let seen = self.draw(STOP_SEEN);
-        self.after(seen, move |world| world.proxy_selector.proxies.borrow_mut()[index].2 = false);
-        let longest = (self.script.contract.deadline_ms * 1_000).min(3_000_000);
-        self.after(longest + KILL_SLACK, move |world| {
+        let detected_after = self.draw(STOP_DETECTION_US);
+        self.after(detected_after, move |world| world.proxy_selector.proxies.borrow_mut()[index].2 = false);
+        let max_deadline = (self.script.contract.deadline_ms * 1_000).min(MAX_STOP_DEADLINE_US);
+        self.after(max_deadline + KILL_SLACK_US, move |world| {
             if world.sim.observer.borrow().process_of(index) == id && !world.ended.borrow()[index] {
                 world.sim.observer.borrow_mut().exit_overdue(index);
                 world.kill_proxy(index);
@@ -432,8 +447,8 @@
         let id = self.sim.observer.borrow().process_of(index);
         self.ended.borrow_mut()[index] = true;
         self.sim.kill(id);
-        let seen = self.draw(DEAD_SEEN);
-        self.after(seen, move |world| {
+        let detected_after = self.draw(KILL_DETECTION_US);
+        self.after(detected_after, move |world| {
             if world.ended.borrow()[index] {
                 world.proxy_selector.proxies.borrow_mut()[index].2 = false;
             }
@@ -453,15 +468,15 @@
                 index,
                 host: host.clone(),
                 proxy_selector: self.proxy_selector.clone(),
-                // By its key, so that leaving others out of the script changes nothing here.
+                // The stream depends on the client's key alone, so removing other clients does not change it.
                 rng: RefCell::new(stream(self.script.order, &format!("submitter {}", spec.key))),
                 deadline_ms: self.script.contract.deadline_ms,
                 aim: self.script.contract.message_ms * 1_000,
                 outcome: RefCell::default(),
                 tries: Cell::new(0),
             });
-            let lives = client.clone();
-            self.at(spec.at_ms, move |_| drop(host.spawn(lives.live())));
+            let running = client.clone();
+            self.at(spec.at_ms, move |_| drop(host.spawn(running.live())));
             clients.push(client);
         }
         clients
@@ -471,15 +486,16 @@
         self.script.backends.iter().position(|backend| backend.name == name).unwrap_or_default()
     }
 
-    /// The process of an execute node ends; discovery tells of it later, unless it did before.
-    fn stop_backend(self: &Rc<Self>, index: usize, tell: bool) {
+    /// Kills a backend's process. With `publish`, discovery reports the backend as gone after a delay.
+    /// Without it, the caller updates discovery.
+    fn stop_backend(self: &Rc<Self>, index: usize, publish: bool) {
         let id = self.backends.borrow()[index].0;
-        self.truth(index, |truth| truth.answers = false);
+        self.update_backend_state(index, |state| state.answers = false);
         self.sim.kill(id);
-        if tell {
-            let later = self.draw(DEATH_TOLD);
-            self.after(later, move |world| {
-                // It may be back by then, which was told already.
+        if publish {
+            let report_delay = self.draw(CRASH_REPORT_DELAY_US);
+            self.after(report_delay, move |world| {
+                // A backend that has restarted by then must not be reported as gone.
                 if world.backends.borrow()[index].0 == id {
                     world.endpoint_store.publish(world.entry(index, "gone", None));
                 }
@@ -487,20 +503,21 @@
         }
     }
 
-    /// It comes back cold under its name.
+    /// Restarts a backend under its name, in slow start; discovery reports it after a delay.
     fn restart_backend(self: &Rc<Self>, index: usize) {
         let now = self.sim.now();
         self.start_backend(index, Some(now));
         let id = self.backends.borrow()[index].0;
-        let later = self.draw(START_TOLD);
-        self.after(later, move |world| {
+        let report_delay = self.draw(START_REPORT_DELAY_US);
+        self.after(report_delay, move |world| {
             if world.backends.borrow()[index].0 == id {
                 world.endpoint_store.publish(world.entry(index, "ready", Some(now)));
             }
         });
     }
 
-    fn plan(self: Rc<Self>, fault: &Fault) {
+    /// Schedules a fault.
+    fn schedule_fault(self: Rc<Self>, fault: &Fault) {
         match fault.clone() {
             Fault::Crash { node: backend, at_ms, until_ms } => {
                 let index = self.backend_index(&backend);
@@ -528,11 +545,11 @@
                 let index = self.backend_index(&backend);
                 self.at(at_ms, move |world| {
                     let id = world.backends.borrow()[index].0;
-                    world.truth(index, |truth| truth.answers = false);
+                    world.update_backend_state(index, |state| state.answers = false);
                     world.sim.partition(id);
-                    let later = world.draw(SILENCE_TOLD);
-                    world.after(later, move |world| {
-                        if !world.truths.borrow()[index].answers {
+                    let report_delay = world.draw(PARTITION_REPORT_DELAY_US);
+                    world.after(report_delay, move |world| {
+                        if !world.backend_states.borrow()[index].answers {
                             world.endpoint_store.publish(world.entry(index, "gone", None));
                         }
                     });
@@ -540,10 +557,10 @@
                 self.at(until_ms, move |world| {
                     let id = world.backends.borrow()[index].0;
                     world.sim.heal(id, reset);
-                    world.truth(index, |truth| truth.answers = true);
-                    let later = world.draw(START_TOLD);
-                    let since = world.truths.borrow()[index].cold_since;
-                    world.after(later, move |world| {
+                    world.update_backend_state(index, |state| state.answers = true);
+                    let report_delay = world.draw(START_REPORT_DELAY_US);
+                    let since = world.backend_states.borrow()[index].cold_since;
+                    world.after(report_delay, move |world| {
                         world.endpoint_store.publish(world.entry(index, "ready", since))
                     });
                 });
@@ -559,8 +576,8 @@
                 self.at(until_ms, move |world| world.degradations[index].neighbour.set(0.0));
             }
             Fault::LateReports { at_ms, until_ms, by_ms } => {
-                self.at(at_ms, move |world| world.late.set(by_ms * 1_000));
-                self.at(until_ms, move |world| world.late.set(0));
+                self.at(at_ms, move |world| world.load_report_delay.set(by_ms * 1_000));
+                self.at(until_ms, move |world| world.load_report_delay.set(0));
             }
             Fault::DiscoveryLate { at_ms, until_ms, by_ms } => {
                 self.at(at_ms, move |world| world.endpoint_store.late.set(by_ms * 1_000));
@@ -582,11 +599,13 @@
             Fault::BadReload { proxy, at_ms } => self.at(at_ms, move |world| {
                 let id = world.sim.observer.borrow().process_of(proxy);
                 let process = world.sim.net.borrow().process(id).clone();
-                let good = process.files.borrow_mut().insert(CONFIG.into(), b"{\"name\":".to_vec());
+                let valid_config =
+                    process.files.borrow_mut().insert(CONFIG_PATH.into(), b"{\"name\":".to_vec());
                 world.sim.signal(id, Signal::Hangup);
                 world.after(300_000, move |_| {
-                    good.into_iter()
-                        .for_each(|good| drop(process.files.borrow_mut().insert(CONFIG.into(), good)));
+                    valid_config.into_iter().for_each(|valid_config| {
+                        drop(process.files.borrow_mut().insert(CONFIG_PATH.into(), valid_config))
+                    });
                 });
             }),
             Fault::Restart { proxy, at_ms, until_ms } => {
@@ -600,11 +619,11 @@
         }
     }
 
-    /// Discovery moves to another address, and all proxies are told by their configs.
+    /// Moves discovery to another address and makes all running proxies reload their configs.
     fn reload(self: &Rc<Self>) {
-        self.place.set(self.place.get() + 1);
-        if let Some(old) = self.service.borrow_mut().take() {
-            old.move_away();
+        self.discovery_index.set(self.discovery_index.get() + 1);
+        if let Some(old_service) = self.service.borrow_mut().take() {
+            old_service.move_away();
         }
         self.start_discovery();
         for index in 0..self.script.proxies.len() {
@@ -613,72 +632,75 @@
             }
             let id = self.sim.observer.borrow().process_of(index);
             let process = self.sim.net.borrow().process(id).clone();
-            process.files.borrow_mut().insert(CONFIG.into(), self.config(index).into_bytes());
+            process.files.borrow_mut().insert(CONFIG_PATH.into(), self.config(index).into_bytes());
             self.sim.observer.borrow_mut().reload_requested(index);
             self.sim.signal(id, Signal::Hangup);
         }
     }
 
-    /// At rest, a proxy holds what it held before the first submitter came, and no connection of one.
-    fn look_for_leftovers(&self) {
+    /// Checks that each idle proxy holds no client connection, and no more tasks and descriptors than a proxy
+    /// without clients.
+    fn check_leftovers(&self) {
         for index in 0..self.script.proxies.len() {
             if self.ended.borrow()[index] {
                 continue;
             }
             let id = self.sim.observer.borrow().process_of(index);
-            let held = self.sim.observer.borrow().still_held(index);
+            let held_connections = self.sim.observer.borrow().still_held(index);
             let (tasks, descriptors) = (self.sim.tasks_of(id), self.sim.descriptors_of(id));
-            // Listener, spare, discovery, one kept connection for probes of each execute node and one on its way.
-            let most = 4 + 2 * self.script.backends.len();
-            // The proxy itself, six tasks that last, the connection to discovery, and probes on their way.
-            let most_tasks = 10 + self.script.backends.len();
+            // Listener, reserved descriptor, discovery, and for each backend one kept probe connection and
+            // one that is being opened.
+            let max_descriptors = 4 + 2 * self.script.backends.len();
+            // The proxy itself, six permanent tasks, the connection to discovery, and probes in progress.
+            let max_tasks = 10 + self.script.backends.len();
             let mut observer = self.sim.observer.borrow_mut();
-            if held > 0 {
+            if held_connections > 0 {
                 observer.report_violation(
                     Rule::LeftOver,
-                    format!("proxy {index} holds {held} connections of the departed"),
+                    format!("proxy {index} holds {held_connections} connections of clients that left"),
                 );
             }
-            if descriptors > most {
+            if descriptors > max_descriptors {
                 observer.report_violation(
                     Rule::LeftOver,
-                    format!("proxy {index} holds {descriptors} descriptors at rest"),
+                    format!("proxy {index} holds {descriptors} descriptors when idle"),
                 );
             }
-            if tasks > most_tasks {
-                observer.report_violation(Rule::LeftOver, format!("proxy {index} has {tasks} tasks at rest"));
+            if tasks > max_tasks {
+                observer
+                    .report_violation(Rule::LeftOver, format!("proxy {index} has {tasks} tasks when idle"));
             }
         }
     }
 
-    /// Stops every proxy as planned; one that has nothing left to do ends before the last moment.
+    /// Stops all proxies as planned. A proxy without requests must end before the kill is due.
     fn stop_all(self: &Rc<Self>, now: Micros) -> bool {
         for index in 0..self.script.proxies.len() {
             self.stop_proxy(index);
         }
-        let longest = (self.script.contract.deadline_ms * 1_000).min(3_000_000);
-        // A seat that nobody left keeps a proxy until shortly before the kill.
-        let rested = self.sim.run_until(now + longest + KILL_SLACK - 400_000);
+        let max_deadline = (self.script.contract.deadline_ms * 1_000).min(MAX_STOP_DEADLINE_US);
+        // A request that was never released keeps a proxy running until shortly before the kill.
+        let became_idle = self.sim.run_until(now + max_deadline + KILL_SLACK_US - 400_000);
         for index in 0..self.script.proxies.len() {
             if !self.ended.borrow()[index] {
-                let what = format!("proxy {index} waits for jobs that are not there");
-                self.sim.observer.borrow_mut().report_violation(Rule::LeftOver, what);
+                let violation = format!("proxy {index} waits for requests that do not exist");
+                self.sim.observer.borrow_mut().report_violation(Rule::LeftOver, violation);
             }
         }
-        rested && self.sim.run_until(now + longest + KILL_SLACK + 100_000)
+        became_idle && self.sim.run_until(now + max_deadline + KILL_SLACK_US + 100_000)
     }
 
-    /// Ends all processes, so that nothing keeps this world alive.
-    fn take_down(&self) {
-        let all = self.sim.processes();
-        (0..all).for_each(|id| self.sim.kill(id));
+    /// Ends all processes and discards all events, so that no reference cycle keeps this world alive.
+    fn shut_down(&self) {
+        let count = self.sim.processes();
+        (0..count).for_each(|id| self.sim.kill(id));
         self.sim.clear();
         self.backends.borrow_mut().clear();
         self.service.borrow_mut().take();
     }
 }
 
-/// The host of a world of its own, to try something small on a virtual clock.
+/// A simulation with one process, for tests that need only a virtual clock and a host.
 pub fn single_process(seed: u64) -> (Rc<Sim>, Host) {
     let links = LinkConditions {
         same_zone_delay: 100,
@@ -688,8 +710,8 @@
         partial: 0.0,
         lossy: 0.0,
     };
-    let cold = SlowStartRule { from: 0.3, warm: 9_000_000, multiple: 4.0, fall: 1_500_000 };
-    let observer = Observer::new(0, &[], cold, Trace::None);
+    let slow_start_rule = SlowStartRule { from: 0.3, warm: 9_000_000, multiple: 4.0, fall: 1_500_000 };
+    let observer = Observer::new(0, &[], slow_start_rule, Trace::None);
     let sim = Sim::new(seed, Net::new(links, stream(seed, "links")), observer);
     let (_, host) = sim.start(ProcessOptions::plain("alone", 0, IpAddr::V4(Ipv4Addr::new(10, 9, 0, 1))));
     (sim, host)
