--- a/crates/world/src/script.rs
+++ b/crates/world/src/script.rs
@@ -1,182 +1,182 @@
-//! A run as a script: the site, the submitters and the faults, in TOML. A seed draws one; a script that was
-//! printed and edited plays without the seed's draws.
+//! The script of a run, in TOML: the proxies and backends, the clients and the faults. A seed generates one.
+//! A script that was printed and edited runs without the seed.
 
 use serde::{Deserialize, Serialize};
 use std::fmt::Write as _;
 
-/// The form that this version reads and writes.
+/// Version of the script format that this program reads and writes.
 pub const FORMAT: u32 = 1;
 
-/// A whole run.
+/// The script of one run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Script {
-    /// The form; 1.
+    /// Version of the format; 1.
     pub format: u32,
-    /// Orders what falls into one instant, and draws what is left to chance while the script plays.
+    /// Seed of the order of events within one instant and of all random draws during the run.
     pub order: u64,
     /// Length of the run; virtual milliseconds, 1,000 to 600,000.
     pub length_ms: u64,
     /// The network.
     pub links: LinkSpec,
-    /// The figures that the proxies are told.
+    /// Values for the proxies' settings, the backends' slow start and the observer's rules.
     pub contract: Contract,
     /// The proxies.
     #[serde(rename = "proxy")]
     pub proxies: Vec<ProxySpec>,
-    /// The execute nodes.
+    /// The backends.
     #[serde(rename = "node")]
     pub backends: Vec<BackendSpec>,
-    /// The submitters.
+    /// The clients.
     #[serde(rename = "submitter", default)]
     pub clients: Vec<ClientSpec>,
-    /// What goes wrong.
+    /// The faults to inject.
     #[serde(rename = "fault", default)]
     pub faults: Vec<Fault>,
 }
 
-/// How the links are.
+/// Properties of the network links.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LinkSpec {
-    /// One way within a zone; microseconds.
+    /// One-way delay within a zone; microseconds.
     pub same_us: u64,
-    /// One way between zones; microseconds.
+    /// One-way delay between zones; microseconds.
     pub cross_us: u64,
-    /// A delay is longer by up to this part of it; 0 to 10.
+    /// Each delay is lengthened by a random fraction of it, up to this value; 0 to 10.
     pub jitter: f64,
-    /// Bytes on the way and unread; 16 to 1,000,000.
+    /// Maximum number of bytes in transit or unread in one direction; 16 to 1,000,000.
     pub window: usize,
-    /// Share of reads and writes that take only a part; 0 to 1.
+    /// Share of reads and writes that transfer only part of the bytes; 0 to 1.
     pub partial: f64,
-    /// Share of resets that overtake what was sent before; 0 to 1.
+    /// Share of resets that overtake segments sent before them; 0 to 1.
     pub lossy: f64,
 }
 
-/// What the settings say.
+/// Values for the proxies' settings, the backends' slow start and the observer's rules.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Contract {
-    /// A job waits this long for its answer; milliseconds.
+    /// Time within which a request must have its final answer; milliseconds, at least 100.
     pub deadline_ms: u64,
-    /// Its set-up is wanted within this; milliseconds.
+    /// Target for the setup of a connection; milliseconds.
     pub target_ms: u64,
-    /// A message is wanted within this; milliseconds.
+    /// Target for the delay of a message; milliseconds.
     pub message_ms: u64,
-    /// Share of its capacity that a cold execute node has; 0 to 1.
+    /// Share of its capacity that a backend has when slow start begins; 0.01 to 1.
     pub cold_from: f64,
-    /// It is warm after this; milliseconds.
+    /// Duration of slow start; milliseconds.
     pub cold_ms: u64,
-    /// It falls over beyond this multiple of what it can do.
+    /// Multiple of its current capacity beyond which a backend overloads...
     pub fall_multiple: f64,
-    /// ...kept up for this; milliseconds.
+    /// ...if the excess lasts this long; milliseconds.
     pub fall_ms: u64,
 }
 
-/// One proxy.
+/// A proxy.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ProxySpec {
-    /// Its zone; 0 to 2.
+    /// Zone; 0 to 2.
     pub zone: usize,
-    /// Descriptors that it may hold.
+    /// Maximum number of descriptors that the process may have open.
     pub descriptors: usize,
-    /// Descriptors that its config speaks of, where they are others.
+    /// Descriptor limit in the proxy's config, if it differs from `descriptors`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub told_descriptors: Option<usize>,
-    /// Seed of its module's random numbers.
+    /// Seed of the decision module's random numbers.
     pub seed: u64,
 }
 
-/// One execute node.
+/// A backend.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BackendSpec {
-    /// Its name, the same when it comes back.
+    /// Name, which the backend keeps after a restart.
     pub name: String,
-    /// Its zone; 0 to 2.
+    /// Zone; 0 to 2.
     pub zone: usize,
-    /// Cores.
+    /// Number of cores.
     pub cores: u32,
-    /// Speed of a core beside the yardstick's; 0.01 to 100.
+    /// Speed of a core relative to the reference core; 0.01 to 100.
     pub speed: f64,
-    /// Connections of mean load that fill a yardstick core.
+    /// Number of connections of mean load that fully load a reference core.
     pub per_core: f64,
-    /// Connections that it holds at most.
+    /// Maximum number of connections.
     pub cap: usize,
-    /// Openings that wait for their set-up at most.
+    /// Maximum number of requests that wait for their setup.
     pub queue: usize,
-    /// Work of one set-up; milliseconds on a yardstick core.
+    /// Work of one setup; milliseconds on a reference core.
     pub setup_ms: f64,
-    /// Work of a message; milliseconds.
+    /// Work of one message; milliseconds on a reference core.
     pub message_ms: f64,
-    /// Reports are made anew this often; milliseconds.
+    /// Interval at which the load report is renewed; milliseconds.
     pub report_ms: u64,
-    /// Reports are wrong by up to this part; 0 to 1.
+    /// Maximum relative error of load reports; 0 to 1.
     pub noise: f64,
-    /// While it drains, it asks its clients to leave.
+    /// Whether the backend sends MOVE to its clients when it drains.
     #[serde(default)]
     pub sends_away: bool,
 }
 
-/// One submitter.
+/// A client.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClientSpec {
-    /// When it comes; milliseconds.
+    /// Time at which the client starts; milliseconds from the start of the run.
     pub at_ms: u64,
-    /// Its zone; 0 to 2.
+    /// Zone; 0 to 2.
     pub zone: usize,
-    /// Its key.
+    /// Key of its requests.
     pub key: u64,
-    /// Its group.
+    /// Group of its requests.
     pub group: u64,
-    /// How long it wants its connection; milliseconds.
+    /// Time for which the client wants to be connected; milliseconds.
     pub life_ms: u64,
-    /// Its load, in mean connections.
+    /// Load of its connection, as a multiple of the mean connection's load.
     pub load: f64,
-    /// It tries again by itself this often after a failure.
+    /// Number of times that the client retries after a failure.
     #[serde(default)]
     pub retries: u32,
-    /// It keeps no protocol, in this way.
+    /// The way in which the client violates the protocol, if it does.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub bad: Option<Misbehavior>,
-    /// It leaves without waiting, this long after it opened its job; milliseconds.
+    /// Time after its request at which the client leaves without waiting for an answer; milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub leaves_ms: Option<u64>,
-    /// It ends by a reset.
+    /// Whether the client closes its connection with a reset.
     #[serde(default)]
     pub resets: bool,
-    /// It reads only this often; milliseconds.
+    /// Interval at which a slow client reads; milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub reads_ms: Option<u64>,
 }
 
-/// The ways of the bad submitters.
+/// Ways in which clients violate the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Misbehavior {
-    /// Says nothing.
+    /// Sends nothing.
     Silent,
-    /// Bytes that are no line.
+    /// Sends bytes that are not a valid line.
     Garbage,
-    /// A line without an end.
+    /// Sends a line without a line end.
     NoEnd,
-    /// A class that does not exist.
+    /// Names a class that does not exist.
     WrongClass,
-    /// A deadline that is no number.
+    /// Sends a deadline that is not a number.
     WrongDeadline,
-    /// No id.
+    /// Sends no request id.
     NoId,
-    /// Half a command, then an end.
+    /// Sends half a command, then an end of stream.
     Half,
-    /// Hundreds of commands at once.
+    /// Sends hundreds of commands at once.
     Commands,
-    /// A value of a hundred thousand bytes and more.
+    /// Sends a value of 100,000 bytes or more.
     Huge,
 }
 
-/// All of them.
+/// All misbehaviors, in the order in which the generator draws from them.
 pub const ALL_MISBEHAVIORS: [Misbehavior; 9] = [
     Misbehavior::Silent,
     Misbehavior::Garbage,
@@ -189,139 +189,139 @@
     Misbehavior::Huge,
 ];
 
-/// What goes wrong, and when. Times are virtual milliseconds from the start of the run.
+/// A fault and its times, in virtual milliseconds from the start of the run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Fault {
-    /// An execute node's process dies and comes back cold under its name, or never.
+    /// A backend's process dies. It may restart under its name, in slow start.
     Crash {
-        /// Its name.
+        /// Name of the backend.
         node: String,
-        /// When.
+        /// Time of the crash.
         at_ms: u64,
-        /// When it is back.
+        /// Time of the restart; without it the backend does not restart.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         until_ms: Option<u64>,
     },
-    /// An execute node drains, stops, and comes back cold under its name, or never.
+    /// A backend drains and stops. It may restart under its name, in slow start.
     Drain {
-        /// Its name.
+        /// Name of the backend.
         node: String,
-        /// When it begins.
+        /// Time at which draining starts.
         at_ms: u64,
-        /// When its process ends.
+        /// Time at which the process ends; not before `at_ms`.
         stop_ms: u64,
-        /// When it is back.
+        /// Time of the restart; without it the backend does not restart.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         until_ms: Option<u64>,
     },
-    /// An execute node's machine is cut off and says nothing.
+    /// A backend's machine is partitioned from the network and sends nothing.
     Silence {
-        /// Its name.
+        /// Name of the backend.
         node: String,
-        /// When.
+        /// Start of the fault.
         at_ms: u64,
-        /// Until when.
+        /// End of the fault.
         until_ms: u64,
-        /// Its connections break when it is back.
+        /// Whether the backend's connections are reset when the partition ends.
         #[serde(default)]
         reset: bool,
     },
-    /// An execute node is slower.
+    /// A backend is slower than usual.
     Slow {
-        /// Its name.
+        /// Name of the backend.
         node: String,
-        /// When.
+        /// Start of the fault.
         at_ms: u64,
-        /// Until when.
+        /// End of the fault.
         until_ms: u64,
-        /// By this factor; 1 to 1,000.
+        /// Factor of the slowdown; 1 to 1,000.
         factor: f64,
     },
-    /// Another program takes a share of an execute node's machine, on and off by the second.
+    /// Another program uses a share of a backend's machine in every other second.
     Neighbour {
-        /// Its name.
+        /// Name of the backend.
         node: String,
-        /// When.
+        /// Start of the fault.
         at_ms: u64,
-        /// Until when.
+        /// End of the fault.
         until_ms: u64,
-        /// The share; 0 to 0.95.
+        /// Share that the other program uses; 0 to 0.95.
         share: f64,
     },
-    /// Execute nodes' reports come later.
+    /// Load reports of all backends are delayed.
     LateReports {
-        /// When.
+        /// Start of the fault.
         at_ms: u64,
-        /// Until when.
+        /// End of the fault.
         until_ms: u64,
-        /// By this; milliseconds.
+        /// Additional delay; milliseconds.
         by_ms: u64,
     },
-    /// Discovery takes longer for each call.
+    /// Discovery answers each call later.
     DiscoveryLate {
-        /// When.
+        /// Start of the fault.
         at_ms: u64,
-        /// Until when.
+        /// End of the fault.
         until_ms: u64,
-        /// By this; milliseconds.
+        /// Additional delay; milliseconds.
         by_ms: u64,
     },
-    /// Discovery answers 503.
+    /// Discovery answers with status 503.
     DiscoveryFails {
-        /// When.
+        /// Start of the fault.
         at_ms: u64,
-        /// Until when.
+        /// End of the fault.
         until_ms: u64,
     },
-    /// Discovery is cut off and says nothing.
+    /// Discovery is partitioned from the network and sends nothing.
     DiscoveryCut {
-        /// When.
+        /// Start of the fault.
         at_ms: u64,
-        /// Until when.
+        /// End of the fault.
         until_ms: u64,
     },
-    /// Discovery is down.
+    /// Discovery's process is down.
     DiscoveryDown {
-        /// When.
+        /// Start of the fault.
         at_ms: u64,
-        /// Until when.
+        /// End of the fault.
         until_ms: u64,
     },
-    /// Discovery moves to another address: config replaced, SIGHUP to all.
+    /// Discovery moves to another address. All proxies get a new config and SIGHUP.
     Reload {
-        /// When.
+        /// Time of the reload.
         at_ms: u64,
     },
-    /// A config that cannot be used, and SIGHUP.
+    /// A proxy gets an invalid config and SIGHUP.
     BadReload {
-        /// The proxy's place.
+        /// Index of the proxy in the script.
         proxy: usize,
-        /// When.
+        /// Time of the reload.
         at_ms: u64,
     },
-    /// A planned stop and a start.
+    /// A planned stop and start of a proxy.
     Restart {
-        /// The proxy's place.
+        /// Index of the proxy in the script.
         proxy: usize,
-        /// When SIGTERM comes.
+        /// Time of SIGTERM.
         at_ms: u64,
-        /// When it starts again; at least 5 s later.
+        /// Time of the start; at least 5,000 ms after `at_ms`.
         until_ms: u64,
     },
-    /// A kill and a start.
+    /// A kill and start of a proxy.
     Kill {
-        /// The proxy's place.
+        /// Index of the proxy in the script.
         proxy: usize,
-        /// When.
+        /// Time of the kill.
         at_ms: u64,
-        /// When it starts again.
+        /// Time of the start.
         until_ms: u64,
     },
 }
 
 impl Fault {
-    /// Its span; milliseconds.
+    /// Start and end of the fault; milliseconds.
     pub fn span(&self) -> (u64, u64) {
         match *self {
             Fault::Crash { at_ms, until_ms, .. } => (at_ms, until_ms.unwrap_or(at_ms)),
@@ -340,7 +340,7 @@
         }
     }
 
-    /// The execute node that it names.
+    /// Name of the backend that the fault affects, if any.
     pub fn backend(&self) -> Option<&str> {
         match self {
             Fault::Crash { node: backend, .. }
@@ -352,6 +352,7 @@
         }
     }
 
+    /// Index of the proxy that the fault affects, if any.
     fn proxy(&self) -> Option<usize> {
         match self {
             Fault::BadReload { proxy, .. } | Fault::Restart { proxy, .. } | Fault::Kill { proxy, .. } => {
@@ -361,8 +362,8 @@
         }
     }
 
-    /// What of it is out of range: the key, and why.
-    fn wrong(&self) -> Option<(&'static str, String)> {
+    /// The first invalid value of the fault: its key and the reason.
+    fn first_error(&self) -> Option<(&'static str, String)> {
         let (at, until) = self.span();
         if until < at {
             return Some(("until_ms", format!("ends at {until}, before it starts at {at}")));
@@ -372,7 +373,7 @@
                 Some(("stop_ms", format!("ends at {stop_ms}, before it starts at {at_ms}")))
             }
             Fault::Drain { stop_ms, .. } if until < *stop_ms => {
-                Some(("until_ms", format!("is back at {until}, before it stops at {stop_ms}")))
+                Some(("until_ms", format!("restarts at {until}, before it stops at {stop_ms}")))
             }
             Fault::Slow { factor, .. } if !(1.0..=1e3).contains(factor) => {
                 Some(("factor", format!("{factor} is not within 1 to 1000")))
@@ -389,48 +390,52 @@
 }
 
 impl Script {
-    /// Reads a script; a fault is one line that names the file, the line and the key.
+    /// Parses a script. An error is one line that names the file, the line and the key.
     pub fn read(name: &str, text: &str) -> Result<Self, String> {
-        let line = |at: usize| text.get(..at).unwrap_or(text).matches('\n').count() + 1;
-        let fault = |key: &str, e: &toml::de::Error| {
-            let at = line(e.span().map_or(0, |span| span.start));
+        let line_number = |offset: usize| text.get(..offset).unwrap_or(text).matches('\n').count() + 1;
+        let format_error = |key: &str, e: &toml::de::Error| {
+            let at = line_number(e.span().map_or(0, |span| span.start));
             let key = if key.is_empty() || key == "." { String::new() } else { format!("{key}: ") };
             format!("{name}: line {at}: {key}{}", e.message().replace('\n', " "))
         };
-        let deserializer = toml::Deserializer::parse(text).map_err(|e| fault("", &e))?;
+        let deserializer = toml::Deserializer::parse(text).map_err(|e| format_error("", &e))?;
         let script: Script = serde_path_to_error::deserialize(deserializer).map_err(|e| {
             let key = e.path().to_string();
-            match literal_of(text, &key, e.inner().message()) {
-                Some((at, within)) => format!("{name}: line {at}: {key}.{within}: {}", e.inner().message()),
-                None => fault(&key, e.inner()),
+            match find_in_fault(text, &key, e.inner().message()) {
+                Some((at, key_in_fault)) => {
+                    format!("{name}: line {at}: {key}.{key_in_fault}: {}", e.inner().message())
+                }
+                None => format_error(&key, e.inner()),
             }
         })?;
-        script.check().map_err(|(table, place, key, why)| {
-            let at = place_of(text, table, place, key);
-            let table = if table.is_empty() { String::new() } else { format!("{table}[{place}].") };
-            format!("{name}: line {at}: {table}{key}: {why}")
+        script.check().map_err(|(table, index, key, reason)| {
+            let at = line_of_key(text, table, index, key);
+            let table = if table.is_empty() { String::new() } else { format!("{table}[{index}].") };
+            format!("{name}: line {at}: {table}{key}: {reason}")
         })?;
         Ok(script)
     }
 
-    /// Prints it, so that it can be edited and read again.
+    /// Formats the script as TOML, which can be edited and read again.
     pub fn print(&self) -> String {
         toml::to_string(self).unwrap_or_else(|e| format!("# {e}\n"))
     }
 
-    /// What is out of range: table, place in it, key, and why.
+    /// The first invalid value: the table, the index of the entry in the table, the key, and the reason.
     fn check(&self) -> Result<(), (&'static str, usize, &'static str, String)> {
-        let top = |good: bool, key, why: &str| if good { Ok(()) } else { Err(("", 0, key, why.to_string())) };
-        top(self.format == FORMAT, "format", "this version reads format 1")?;
-        top((1_000..=600_000).contains(&self.length_ms), "length_ms", "not within 1000 to 600000")?;
-        top((16..=1_000_000).contains(&self.links.window), "window", "not within 16 to 1000000")?;
-        top((0.0..=10.0).contains(&self.links.jitter), "jitter", "not within 0 to 10")?;
-        top((0.0..=1.0).contains(&self.links.partial), "partial", "not within 0 to 1")?;
-        top((0.0..=1.0).contains(&self.links.lossy), "lossy", "not within 0 to 1")?;
-        top((0.01..=1.0).contains(&self.contract.cold_from), "cold_from", "not within 0.01 to 1")?;
-        top(self.contract.deadline_ms >= 100, "deadline_ms", "under 100")?;
-        top(!self.proxies.is_empty(), "proxy", "there is none")?;
-        top(!self.backends.is_empty(), "node", "there is none")?;
+        let require = |valid: bool, key, reason: &str| {
+            if valid { Ok(()) } else { Err(("", 0, key, reason.to_string())) }
+        };
+        require(self.format == FORMAT, "format", "this version reads format 1")?;
+        require((1_000..=600_000).contains(&self.length_ms), "length_ms", "not within 1000 to 600000")?;
+        require((16..=1_000_000).contains(&self.links.window), "window", "not within 16 to 1000000")?;
+        require((0.0..=10.0).contains(&self.links.jitter), "jitter", "not within 0 to 10")?;
+        require((0.0..=1.0).contains(&self.links.partial), "partial", "not within 0 to 1")?;
+        require((0.0..=1.0).contains(&self.links.lossy), "lossy", "not within 0 to 1")?;
+        require((0.01..=1.0).contains(&self.contract.cold_from), "cold_from", "not within 0.01 to 1")?;
+        require(self.contract.deadline_ms >= 100, "deadline_ms", "less than 100")?;
+        require(!self.proxies.is_empty(), "proxy", "at least one is required")?;
+        require(!self.backends.is_empty(), "node", "at least one is required")?;
         for (i, proxy) in self.proxies.iter().enumerate() {
             if proxy.zone > 2 {
                 return Err(("proxy", i, "zone", format!("{} is not within 0 to 2", proxy.zone)));
@@ -444,7 +449,12 @@
                 return Err(("node", i, "speed", format!("{} is not within 0.01 to 100", backend.speed)));
             }
             if self.backends[..i].iter().any(|other| other.name == backend.name) {
-                return Err(("node", i, "name", format!("{} is there twice", backend.name)));
+                return Err((
+                    "node",
+                    i,
+                    "name",
+                    format!("{} is used by another backend as well", backend.name),
+                ));
             }
         }
         for (i, client) in self.clients.iter().enumerate() {
@@ -456,59 +466,61 @@
             if let Some(backend) =
                 fault.backend().filter(|backend| self.backends.iter().all(|other| other.name != **backend))
             {
-                return Err(("fault", i, "node", format!("there is no execute node {backend}")));
+                return Err(("fault", i, "node", format!("there is no backend {backend}")));
             }
             if let Some(proxy) = fault.proxy().filter(|&proxy| proxy >= self.proxies.len()) {
                 return Err(("fault", i, "proxy", format!("there is no proxy {proxy}")));
             }
-            if let Some((key, why)) = fault.wrong() {
-                return Err(("fault", i, key, why));
+            if let Some((key, reason)) = fault.first_error() {
+                return Err(("fault", i, key, reason));
             }
         }
         Ok(())
     }
 
-    /// The faults, in a line each.
+    /// The faults as text, one line each.
     pub fn faults_in_words(&self) -> String {
-        let mut words = String::new();
+        let mut text = String::new();
         for fault in &self.faults {
-            let _ = writeln!(words, "{fault:?}");
+            let _ = writeln!(text, "{fault:?}");
         }
-        words
+        text
     }
 }
 
-/// A fault's table is read before its kind says what its keys are, and where in it something is wrong gets lost.
-/// The line and the key of the value that the message quotes; without one, those of the table's kind.
-fn literal_of(text: &str, path: &str, message: &str) -> Option<(usize, String)> {
-    let place: usize = path.strip_prefix("fault[")?.strip_suffix(']')?.parse().ok()?;
-    let literal = message.split('`').nth(1).unwrap_or_default();
+/// Finds the line and the key of the value or key that an error message about a fault quotes, and otherwise
+/// those of the fault's `kind`. The deserializer reads a fault's whole table before the kind selects the
+/// variant, so its error does not say where in the table the invalid value is.
+fn find_in_fault(text: &str, path: &str, message: &str) -> Option<(usize, String)> {
+    let index: usize = path.strip_prefix("fault[")?.strip_suffix(']')?.parse().ok()?;
+    let quoted = message.split('`').nth(1).unwrap_or_default();
     let tables = text.lines().enumerate().filter(|(_, line)| line.trim() == "[[fault]]");
-    let (begin, _) = tables.clone().nth(place)?;
-    let end = tables.clone().nth(place + 1).map_or(usize::MAX, |(at, _)| at);
+    let (begin, _) = tables.clone().nth(index)?;
+    let end = tables.clone().nth(index + 1).map_or(usize::MAX, |(at, _)| at);
     let keys = text.lines().enumerate().take(end).skip(begin + 1).filter_map(|(at, line)| {
         let (key, value) = line.split_once('=')?;
         Some((at + 1, key.trim().to_string(), value.trim().trim_matches('"').to_string()))
     });
-    let found = keys.clone().find(|(_, _, value)| value == literal);
-    let found = found.or_else(|| keys.clone().find(|(_, key, _)| key == literal));
+    let found = keys.clone().find(|(_, _, value)| value == quoted);
+    let found = found.or_else(|| keys.clone().find(|(_, key, _)| key == quoted));
     let found = found.or_else(|| keys.clone().find(|(_, key, _)| key == "kind"));
     found.map(|(at, key, _)| (at, key))
 }
 
-/// The line of a key in the so-manieth table of that name.
-fn place_of(text: &str, table: &str, place: usize, key: &str) -> usize {
-    let (mut seen, mut last) = (0, 1);
+/// Line number of a key in the table of that name and index. If the key is missing, this is the line of the
+/// last table header of that name, and 1 without any.
+fn line_of_key(text: &str, table: &str, index: usize, key: &str) -> usize {
+    let (mut tables_seen, mut last_header) = (0, 1);
     let header = format!("[[{table}]]");
     for (i, line) in text.lines().enumerate() {
         if line.trim() == header {
-            seen += 1;
-            last = i + 1;
+            tables_seen += 1;
+            last_header = i + 1;
         }
-        let within = if table.is_empty() { true } else { seen == place + 1 };
-        if within && line.split('=').next().is_some_and(|name| name.trim() == key) {
+        let in_table = if table.is_empty() { true } else { tables_seen == index + 1 };
+        if in_table && line.split('=').next().is_some_and(|name| name.trim() == key) {
             return i + 1;
         }
     }
-    last
+    last_header
 }
