--- a/crates/world/src/real.rs
+++ b/crates/world/src/real.rs
@@ -1,6 +1,7 @@
-//! The same models on real loopback sockets and real time, to compare with the virtual clock. The proxies run in
-//! this process on the real machine's host; a process is a set of tasks that end together.
-#![allow(clippy::disallowed_methods)] // a machine of its own, whose tasks end together
+//! Runs a script on real loopback sockets in real time, to compare the results with the virtual clock.
+//! Proxies, backends and discovery run as groups of tasks within this OS process. Each group stands for one
+//! process, and its tasks end together.
+#![allow(clippy::disallowed_methods)] // implements a `Machine` whose tasks are aborted together
 
 use crate::backend::{Backend, Degradation, SlowStart};
 use crate::client::{Client, Outcome, ProxySelector};
@@ -19,43 +20,53 @@
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
 use tokio::task::{AbortHandle, LocalSet, spawn_local};
 
-/// A process on the real machine: its tasks end together, and a file of its own stands for its config.
+/// Time until discovery reports a restarted backend.
+const RESTART_REPORT_DELAY_US: Micros = 500_000;
+/// Time until discovery reports a crashed backend.
+const CRASH_REPORT_DELAY_MS: u64 = 1_500;
+
+/// A process on the real machine: tasks that end together, and the content of its config file.
 struct Process {
-    os: Host,
+    os_host: Host,
     config: Vec<u8>,
     tasks: RefCell<Vec<AbortHandle>>,
-    /// Signals would go to all processes of this world at once: none is ever sent.
-    signals: RefCell<Vec<UnboundedSender<()>>>,
+    /// Kept open but never used, as an OS signal would reach all processes of this run at once.
+    signal_senders: RefCell<Vec<UnboundedSender<()>>>,
 }
 
-/// Ends a process.
+/// A handle that ends a process.
 #[derive(Clone)]
-struct Kill(Rc<Process>);
+struct KillHandle(Rc<Process>);
 
-impl Kill {
+impl KillHandle {
     fn kill(&self) {
         self.0.tasks.borrow_mut().drain(..).for_each(|task| task.abort());
     }
 }
 
-struct Real(Rc<Process>);
+/// A process's view of the real machine.
+struct RealMachine(Rc<Process>);
 
-/// A process with that config, and what ends it.
-fn process(config: &str) -> (Host, Kill) {
+/// Creates a process with that config and returns its host and its kill handle.
+fn process(config: &str) -> (Host, KillHandle) {
     let config = config.as_bytes().to_vec();
-    let process =
-        Rc::new(Process { os: Host::os(), config, tasks: RefCell::default(), signals: RefCell::default() });
-    (Host::of(Real(process.clone())), Kill(process))
+    let process = Rc::new(Process {
+        os_host: Host::os(),
+        config,
+        tasks: RefCell::default(),
+        signal_senders: RefCell::default(),
+    });
+    (Host::of(RealMachine(process.clone())), KillHandle(process))
 }
 
-impl Machine for Real {
+impl Machine for RealMachine {
     fn now(&self) -> Micros {
-        self.0.os.now()
+        self.0.os_host.now()
     }
 
     fn sleep_until(&self, at: Micros) -> Local<'static, ()> {
-        let os = self.0.os.clone();
-        Box::pin(async move { os.sleep_until(at).await })
+        let os_host = self.0.os_host.clone();
+        Box::pin(async move { os_host.sleep_until(at).await })
     }
 
     fn spawn(&self, task: Local<'static, ()>) {
@@ -65,17 +76,17 @@
     }
 
     fn connect(&self, to: SocketAddr) -> Local<'static, io::Result<TcpStream>> {
-        let os = self.0.os.clone();
-        Box::pin(async move { os.connect(to).await })
+        let os_host = self.0.os_host.clone();
+        Box::pin(async move { os_host.connect(to).await })
     }
 
-    fn listen(&self, at: SocketAddr, backlog: i32, beside: bool) -> io::Result<TcpListener> {
-        self.0.os.listen(at, backlog, beside)
+    fn listen(&self, at: SocketAddr, backlog: i32, reuse_port: bool) -> io::Result<TcpListener> {
+        self.0.os_host.listen(at, backlog, reuse_port)
     }
 
     fn signals(&self, _: Signal) -> io::Result<Signals> {
         let (sender, arrivals) = unbounded_channel();
-        self.0.signals.borrow_mut().push(sender);
+        self.0.signal_senders.borrow_mut().push(sender);
         Ok(Signals::from_channel(arrivals))
     }
 
@@ -88,24 +99,24 @@
     }
 
     fn reserve_descriptor(&self) -> Option<Box<dyn Any>> {
-        self.0.os.reserve_descriptor()
+        self.0.os_host.reserve_descriptor()
     }
 }
 
-/// What a script came to on real sockets.
+/// Result of a run on real sockets.
 pub struct RealReport {
-    /// What came of each submitter.
+    /// Outcome of each client, in the order of the script.
     pub outcomes: Vec<Outcome>,
 }
 
-/// A free loopback address: the listener that found it is closed again.
-fn free(host: &Host) -> Result<SocketAddr, String> {
+/// Finds a free loopback address by binding a listener to it and closing the listener again.
+fn free_address(host: &Host) -> Result<SocketAddr, String> {
     let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
     Ok(host.listen(any, 1, false).map_err(|e| e.to_string())?.address())
 }
 
-/// Plays a script in real time. Of the faults it knows crashes, drains, slowness and late reports; with any
-/// other it is refused, in one line.
+/// Runs a script in real time. Supports the faults `Crash`, `Drain`, `Slow` and `LateReports`, and returns a
+/// one-line error for any other.
 pub fn play(script: &Script) -> Result<RealReport, String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| e.to_string())?;
@@ -113,21 +124,23 @@
 }
 
 async fn run(script: &Script) -> Result<RealReport, String> {
-    let director = Host::os();
-    let late = Rc::new(Cell::new(0));
+    let os_host = Host::os();
+    let load_report_delay = Rc::new(Cell::new(0));
     let addresses: Vec<SocketAddr> =
-        script.backends.iter().map(|_| free(&director)).collect::<Result<_, _>>()?;
-    let entries = addresses.iter().enumerate();
-    let entries = entries.map(|(i, address)| entry(script, i, *address, "ready", None)).collect();
+        script.backends.iter().map(|_| free_address(&os_host)).collect::<Result<_, _>>()?;
+    let numbered_addresses = addresses.iter().enumerate();
+    let entries =
+        numbered_addresses.map(|(index, address)| entry(script, index, *address, "ready", None)).collect();
     let endpoint_store = EndpointStore::new(entries);
     let (host, _discovery) = process("");
-    let listener = host.listen(free(&host)?, 64, false).map_err(|e| e.to_string())?;
+    let listener = host.listen(free_address(&host)?, 64, false).map_err(|e| e.to_string())?;
     let discovery = listener.address();
     host.spawn(Service::new(endpoint_store.clone(), host.clone()).serve(listener));
-    let degradations: Vec<_> = script.backends.iter().map(|_| Degradation::none(late.clone())).collect();
-    let start = {
+    let degradations: Vec<_> =
+        script.backends.iter().map(|_| Degradation::none(load_report_delay.clone())).collect();
+    let start_backend = {
         let (script, degradations, addresses) = (script.clone(), degradations.clone(), addresses.clone());
-        move |index: usize, since: Option<Micros>| -> Option<(Kill, Rc<Backend>)> {
+        move |index: usize, since: Option<Micros>| -> Option<(KillHandle, Rc<Backend>)> {
             let (host, kill) = process("");
             let slow_start =
                 SlowStart { from: script.contract.cold_from, time: script.contract.cold_ms * 1_000 };
@@ -148,98 +161,102 @@
             Some((kill, backend))
         }
     };
-    let backends: Vec<_> = (0..script.backends.len()).map(|i| RefCell::new(start(i, None))).collect();
+    let backends: Vec<_> =
+        (0..script.backends.len()).map(|index| RefCell::new(start_backend(index, None))).collect();
     let backends = Rc::new(backends);
     let proxy_selector = Rc::new(ProxySelector::default());
     let mut proxies = Vec::new();
     for (index, spec) in script.proxies.iter().enumerate() {
-        let address = free(&director)?;
+        let address = free_address(&os_host)?;
         let (host, kill) =
             process(&config_text(script, index, spec.seed, address, discovery, &endpoint_store.snapshot()));
         let config = config::read(&host, Path::new("config"))?;
-        let parts = Components::from_config(&config)?;
+        let components = Components::from_config(&config)?;
         let handlers = SignalHandlers::install(&host)?;
         let machine = host.clone();
         host.spawn(async move {
-            // It ends with the run.
-            let _ = pierloom_proxy::run(machine, handlers, config, parts).await;
+            // The result is ignored: the proxy runs until it is killed at the end of the run.
+            let _ = pierloom_proxy::run(machine, handlers, config, components).await;
         });
         proxy_selector.proxies.borrow_mut().push((spec.zone, address, true));
         proxies.push(kill);
     }
-    let begin = director.now() + 300_000;
-    let at = |ms: u64, what: Box<dyn FnOnce()>| {
-        let host = director.clone();
-        director.spawn(async move {
-            host.sleep_until(begin + ms * 1_000).await;
-            what();
+    let start_time = os_host.now() + 300_000;
+    let schedule = |ms: u64, action: Box<dyn FnOnce()>| {
+        let host = os_host.clone();
+        os_host.spawn(async move {
+            host.sleep_until(start_time + ms * 1_000).await;
+            action();
         });
     };
     for fault in &script.faults {
-        let place = |name: &str| script.backends.iter().position(|backend| backend.name == name).unwrap_or(0);
+        let backend_index =
+            |name: &str| script.backends.iter().position(|backend| backend.name == name).unwrap_or(0);
         match fault.clone() {
             Fault::Crash { node: backend, at_ms, until_ms } => {
-                let index = place(&backend);
-                stop(&at, at_ms, index, &backends);
+                let index = backend_index(&backend);
+                schedule_stop(&schedule, at_ms, index, &backends);
                 let gone = entry(script, index, addresses[index], "gone", None);
-                let tells = endpoint_store.clone();
-                at(at_ms + 1_500, Box::new(move || tells.publish(gone)));
-                back(
-                    &at,
+                let store = endpoint_store.clone();
+                schedule(at_ms + CRASH_REPORT_DELAY_MS, Box::new(move || store.publish(gone)));
+                schedule_restart(
+                    &schedule,
                     until_ms,
                     index,
                     &backends,
-                    &start,
+                    &start_backend,
                     (script, addresses[index], &endpoint_store),
-                    &director,
+                    &os_host,
                 );
             }
             Fault::Drain { node: backend, at_ms, stop_ms, until_ms } => {
-                let index = place(&backend);
-                let told = entry(script, index, addresses[index], "draining", None);
-                let (tells, all) = (endpoint_store.clone(), backends.clone());
-                at(
+                let index = backend_index(&backend);
+                let draining = entry(script, index, addresses[index], "draining", None);
+                let (store, all_backends) = (endpoint_store.clone(), backends.clone());
+                schedule(
                     at_ms,
                     Box::new(move || {
-                        all[index].borrow().iter().for_each(|(_, backend)| backend.drain());
-                        tells.publish(told);
+                        all_backends[index].borrow().iter().for_each(|(_, backend)| backend.drain());
+                        store.publish(draining);
                     }),
                 );
-                stop(&at, stop_ms, index, &backends);
+                schedule_stop(&schedule, stop_ms, index, &backends);
                 let gone = entry(script, index, addresses[index], "gone", None);
-                let tells = endpoint_store.clone();
-                at(stop_ms, Box::new(move || tells.publish(gone)));
-                back(
-                    &at,
+                let store = endpoint_store.clone();
+                schedule(stop_ms, Box::new(move || store.publish(gone)));
+                schedule_restart(
+                    &schedule,
                     until_ms,
                     index,
                     &backends,
-                    &start,
+                    &start_backend,
                     (script, addresses[index], &endpoint_store),
-                    &director,
+                    &os_host,
                 );
             }
             Fault::Slow { node: backend, at_ms, until_ms, factor } => {
-                let (one, two) =
-                    (degradations[place(&backend)].clone(), degradations[place(&backend)].clone());
-                at(at_ms, Box::new(move || one.slow.set(factor)));
-                at(until_ms, Box::new(move || two.slow.set(1.0)));
+                let (at_start, at_end) = (
+                    degradations[backend_index(&backend)].clone(),
+                    degradations[backend_index(&backend)].clone(),
+                );
+                schedule(at_ms, Box::new(move || at_start.slow.set(factor)));
+                schedule(until_ms, Box::new(move || at_end.slow.set(1.0)));
             }
             Fault::LateReports { at_ms, until_ms, by_ms } => {
-                let (one, two) = (late.clone(), late.clone());
-                at(at_ms, Box::new(move || one.set(by_ms * 1_000)));
-                at(until_ms, Box::new(move || two.set(0)));
+                let (at_start, at_end) = (load_report_delay.clone(), load_report_delay.clone());
+                schedule(at_ms, Box::new(move || at_start.set(by_ms * 1_000)));
+                schedule(until_ms, Box::new(move || at_end.set(0)));
             }
-            other => return Err(format!("not on real sockets: {other:?}")),
+            other => return Err(format!("fault is not supported on real sockets: {other:?}")),
         }
     }
-    let mut lives = Vec::new();
+    let mut client_tasks = Vec::new();
     let mut clients = Vec::new();
     for (index, spec) in script.clients.iter().enumerate() {
         let client = Rc::new(Client {
             spec: spec.clone(),
             index,
-            host: director.clone(),
+            host: os_host.clone(),
             proxy_selector: proxy_selector.clone(),
             rng: RefCell::new(stream(script.order, &format!("submitter {}", spec.key))),
             deadline_ms: script.contract.deadline_ms,
@@ -248,54 +265,55 @@
             tries: Cell::new(0),
         });
         clients.push(client.clone());
-        let host = director.clone();
-        lives.push(director.spawn(async move {
-            host.sleep_until(begin + client.spec.at_ms * 1_000).await;
+        let host = os_host.clone();
+        client_tasks.push(os_host.spawn(async move {
+            host.sleep_until(start_time + client.spec.at_ms * 1_000).await;
             client.live().await;
         }));
     }
-    for life in lives {
-        life.await;
+    for task in client_tasks {
+        task.await;
     }
-    proxies.iter().for_each(Kill::kill);
+    proxies.iter().for_each(KillHandle::kill);
     backends.iter().for_each(|backend| backend.borrow().iter().for_each(|(kill, _)| kill.kill()));
-    Ok(RealReport { outcomes: clients.iter().map(|s| s.outcome.borrow().clone()).collect() })
+    Ok(RealReport { outcomes: clients.iter().map(|client| client.outcome.borrow().clone()).collect() })
 }
 
-type Backends = Rc<Vec<RefCell<Option<(Kill, Rc<Backend>)>>>>;
+/// For each backend of the script, its process unless that has ended.
+type Backends = Rc<Vec<RefCell<Option<(KillHandle, Rc<Backend>)>>>>;
 
-/// An execute node's process ends at that time.
-fn stop(at: &impl Fn(u64, Box<dyn FnOnce()>), ms: u64, index: usize, backends: &Backends) {
+/// Schedules the end of a backend's process.
+fn schedule_stop(schedule: &impl Fn(u64, Box<dyn FnOnce()>), ms: u64, index: usize, backends: &Backends) {
     let backends = backends.clone();
-    at(
+    schedule(
         ms,
         Box::new(move || backends[index].borrow_mut().take().into_iter().for_each(|(kill, _)| kill.kill())),
     );
 }
 
-/// It comes back cold under its name, and discovery tells of it a little later.
-fn back(
-    at: &impl Fn(u64, Box<dyn FnOnce()>),
+/// Schedules the restart of a backend under its name, in slow start; discovery reports it 0.5 s later.
+fn schedule_restart(
+    schedule: &impl Fn(u64, Box<dyn FnOnce()>),
     ms: Option<u64>,
     index: usize,
     backends: &Backends,
-    start: &(impl Fn(usize, Option<Micros>) -> Option<(Kill, Rc<Backend>)> + Clone + 'static),
+    start_backend: &(impl Fn(usize, Option<Micros>) -> Option<(KillHandle, Rc<Backend>)> + Clone + 'static),
     (script, address, endpoint_store): (&Script, SocketAddr, &Rc<EndpointStore>),
     host: &Host,
 ) {
     let Some(ms) = ms else { return };
-    let (backends, start, host, endpoint_store, script) =
-        (backends.clone(), start.clone(), host.clone(), endpoint_store.clone(), script.clone());
-    at(
+    let (backends, start_backend, host, endpoint_store, script) =
+        (backends.clone(), start_backend.clone(), host.clone(), endpoint_store.clone(), script.clone());
+    schedule(
         ms,
         Box::new(move || {
             let now = host.now();
-            *backends[index].borrow_mut() = start(index, Some(now));
-            let told: Entry = entry(&script, index, address, "ready", Some(now));
-            let later = host.clone();
+            *backends[index].borrow_mut() = start_backend(index, Some(now));
+            let ready: Entry = entry(&script, index, address, "ready", Some(now));
+            let timer_host = host.clone();
             host.spawn(async move {
-                later.sleep_until(now + 500_000).await;
-                endpoint_store.publish(told);
+                timer_host.sleep_until(now + RESTART_REPORT_DELAY_US).await;
+                endpoint_store.publish(ready);
             });
         }),
     );
