--- a/crates/pierloom/tests/bad_input.rs
+++ b/crates/pierloom/tests/bad_input.rs
@@ -7,7 +7,7 @@
 mod harness;
 
 use harness::{
-    Backend, FullQueueBackend, Proxy, SETTINGS, TEST_TIMEOUT, http_response, poll_until, program_command,
+    Backend, EVENT_TIMEOUT, FullQueueBackend, Proxy, SETTINGS, http_response, poll_until, program_command,
     write_config_file,
 };
 use std::time::Duration;
@@ -16,7 +16,7 @@
 /// later call watches from.
 fn index_after_answer(proxy: &Proxy, body: &str) -> u64 {
     proxy.discovery.send_raw_answer(http_response(body, body.len()));
-    proxy.discovery.calls.recv_timeout(TEST_TIMEOUT).unwrap().from
+    proxy.discovery.calls.recv_timeout(EVENT_TIMEOUT).unwrap().from_index
 }
 
 // Specified: the proxy uses each valid entry of an endpoint list; of two entries with one name, the later
@@ -26,21 +26,21 @@
 fn partly_invalid_endpoint_lists_are_used_as_far_as_they_are_valid() {
     let backends = [Backend::new("n0"), Backend::new("n1")];
     let proxy = Proxy::start("odd-lists", &[&backends[0]]);
-    proxy.discovery.calls.recv_timeout(TEST_TIMEOUT).unwrap();
+    proxy.discovery.calls.recv_timeout(EVENT_TIMEOUT).unwrap();
     let (ready, drain) = (backends[0].entry("ready"), backends[0].entry("draining"));
     // The JSON is indented, and one name stands twice.
     let body = format!(
         "{{\r\n  \"index\": 7,\n\t\"snapshot\": false,\n  \"endpoints\": [\n    {drain},\n    {ready}\n  ]\n}}\n"
     );
     assert_eq!(index_after_answer(&proxy, &body), 7);
-    proxy.connect("a", &backends[0]);
+    proxy.establish("a", &backends[0]);
     // The entry has no address, and the index goes back.
     let no_address = r#"{"name":"n0","status":"ready"}"#;
     assert_eq!(
         index_after_answer(&proxy, &format!(r#"{{"index":3,"snapshot":false,"endpoints":[{no_address}]}}"#)),
         3
     );
-    proxy.connect("b", &backends[0]);
+    proxy.establish("b", &backends[0]);
     // One entry has no address and none is known, one has an invalid address, and one has impossible values.
     let extreme = ready
         .replace("\"since_ms\":0", "\"since_ms\":18446744073709551615")
@@ -52,7 +52,7 @@
     assert_eq!(index_after_answer(&proxy, &body), 4);
     let body = format!(r#"{{"index":5,"snapshot":true,"endpoints":[{}]}}"#, backends[1].entry("ready"));
     assert_eq!(index_after_answer(&proxy, &body), 5);
-    proxy.connect("c", &backends[1]);
+    proxy.establish("c", &backends[1]);
 }
 
 // Guards against an endpoint list that is discarded because of one invalid entry: drains of other backends in
@@ -71,8 +71,8 @@
     .enumerate()
     {
         let proxy = Proxy::start(&format!("entry{i}"), &[&backends[0], &backends[1]]);
-        let (mut client, _at_backend) = proxy.connect_any("k", &backends);
-        proxy.discovery.calls.recv_timeout(TEST_TIMEOUT).unwrap();
+        let (mut client, _at_backend) = proxy.establish_at_any("k", &backends);
+        proxy.discovery.calls.recv_timeout(EVENT_TIMEOUT).unwrap();
         let draining = backends.each_ref().map(|backend| backend.entry("draining")).join(",");
         let delta = format!(r#"{{"index":9,"snapshot":false,"endpoints":[{invalid},{draining}]}}"#);
         proxy.discovery.send_raw_answer(http_response(&delta, delta.len()));
@@ -85,10 +85,11 @@
             backends[1].entry("ready")
         );
         proxy.discovery.send_raw_answer(http_response(&snapshot, snapshot.len()));
-        assert_eq!(proxy.discovery.calls.recv_timeout(TEST_TIMEOUT).unwrap().from, 9);
-        let served = || proxy.open("k2").line_within(Duration::from_millis(50)).is_none().then_some(());
+        assert_eq!(proxy.discovery.calls.recv_timeout(EVENT_TIMEOUT).unwrap().from_index, 9);
+        let served =
+            || proxy.send_request("k2").line_within(Duration::from_millis(50)).is_none().then_some(());
         poll_until(served).expect("an attempt");
-        backends[1].accept_open();
+        backends[1].accept_first_line();
         assert!(backends[0].has_no_new_connection(), "{invalid}");
     }
 }
@@ -106,14 +107,14 @@
         let (invalid_backend, healthy_backend) = (Backend::new("n0"), Backend::new("n1"));
         let proxy = Proxy::start(&format!("nonsense{i}"), &[&invalid_backend, &healthy_backend]);
         for n in 0..8 {
-            let mut client = proxy.open(&format!("k{n}"));
+            let mut client = proxy.send_request(&format!("k{n}"));
             let established = harness::poll_until(|| {
-                if let Some((at_invalid, _)) = invalid_backend.try_accept_open() {
+                if let Some((at_invalid, _)) = invalid_backend.try_accept_first_line() {
                     // The proxy may close the connection before the answer is complete.
                     let _ = std::io::Write::write_all(&mut at_invalid.stream(), answer.as_bytes());
                     at_invalid.shutdown_write();
                 }
-                healthy_backend.try_accept_open().map(|(mut at_healthy, _)| {
+                healthy_backend.try_accept_first_line().map(|(mut at_healthy, _)| {
                     at_healthy.send("UP r1\r\n");
                     at_healthy
                 })
@@ -130,8 +131,8 @@
 fn a_second_answer_after_up_is_relayed_unchanged() {
     let backend = Backend::new("n");
     let proxy = Proxy::start("second", &[&backend]);
-    let mut client = proxy.open("k");
-    let (mut at_backend, _) = backend.accept_open();
+    let mut client = proxy.send_request("k");
+    let (mut at_backend, _) = backend.accept_first_line();
     at_backend.send("UP r1\r\nUP r1\r\n");
     assert_eq!((client.line(), client.line()), ("UP r1\r\n".to_string(), "UP r1\r\n".to_string()));
     at_backend.send("BUSY\r\n");
@@ -152,7 +153,7 @@
         let _ = std::io::Write::write_all(&mut peer.stream(), &flood);
         peer.reset();
     }
-    proxy.connect("k", &backend);
+    proxy.establish("k", &backend);
     assert!(proxy.peak_memory_kb() < 32 << 10);
 }
 
@@ -164,8 +165,8 @@
     let unusual = SETTINGS
         .replace("\"deadline\":4.8", "\"deadline\":1e300,\"colour\":3")
         .replace("\"balancers\":1", "\"balancers\":1,\"more\":{}");
-    let proxy = Proxy::start_with("unusual-settings", 1024, &[backend.entry("ready")], &unusual);
-    proxy.connect("k", &backend);
+    let proxy = Proxy::start_with_settings("unusual-settings", 1024, &[backend.entry("ready")], &unusual);
+    proxy.establish("k", &backend);
     for (valid, invalid, field) in [
         ("\"connect-timeout\":0.2", "\"connect-timeout\":-1", "connect_timeout"),
         ("\"deadline\":4.8", "\"deadline\":-4", "deadline"),
@@ -191,20 +192,20 @@
 fn a_request_whose_client_has_left_reaches_no_backend() {
     let backend = FullQueueBackend::new("n");
     let settings = SETTINGS.replace("\"max-attempts\"", "\"may-probe\":true,\"max-attempts\"");
-    let proxy = Proxy::start_with("gone", 1024, &[backend.entry("ready")], &settings);
+    let proxy = Proxy::start_with_settings("gone", 1024, &[backend.entry("ready")], &settings);
     // When the proxy resumes, the client's connection, request and end are ready at the same time.
     proxy.suspend();
-    drop(proxy.open("a"));
+    drop(proxy.send_request("a"));
     proxy.resume();
     // This request waits for a probe whose answer arrives together with the client's end.
-    let waiting = proxy.open("b");
+    let waiting = proxy.send_request("b");
     let mut probe = backend.accept();
     assert_eq!(probe.line(), "STATS\r\n");
     proxy.suspend();
     drop(waiting);
     probe.send("PONG x0=0.4,svc_ms=11.5\r\n");
     proxy.resume();
-    let mut served = proxy.open("c");
+    let mut served = proxy.send_request("c");
     let mut at_backend = backend.accept();
     assert!(at_backend.line().starts_with("OPEN 0ac "), "the first request that reaches the backend");
     at_backend.send("UP r\r\n");
--- a/crates/pierloom/tests/console.rs
+++ b/crates/pierloom/tests/console.rs
@@ -5,7 +5,7 @@
 #[allow(dead_code)] // each test program uses a part of the harness
 mod harness;
 
-use harness::{Backend, Peer, Proxy, SETTINGS, TEST_TIMEOUT, call_console, metric_value};
+use harness::{Backend, EVENT_TIMEOUT, Peer, Proxy, SETTINGS, call_console, metric_value};
 use std::time::{Duration, Instant};
 
 /// The console must answer each call within this time.
@@ -36,7 +36,7 @@
     half_closed.send("GET /healthcheck HTTP/1.1\r\nHost: staff\r\n\r\n");
     half_closed.shutdown_write();
     assert!(half_closed.line().starts_with("HTTP/1.1 200"));
-    proxy.connect("1", &backend);
+    proxy.establish("1", &backend);
     assert_eq!(call_console(console, "GET", "/healthcheck").0, 200);
 }
 
@@ -51,19 +51,19 @@
         assert_eq!(metric_value(&page, &format!("lb_{name}{{type=\"feed\"}}")), 0);
     }
     assert_eq!((metric_value(&page, "lb_targets"), metric_value(&page, "lb_targets_disabled")), (2, 1));
-    let (established, _at_backend) = proxy.connect("1", &backend);
+    let (established, _at_backend) = proxy.establish("1", &backend);
     // The proxy refuses the request after its only backend has refused it.
-    let mut refused = proxy.open("2");
-    backend.accept_open().0.send("BUSY\r\n");
+    let mut refused = proxy.send_request("2");
+    backend.accept_first_line().0.send("BUSY\r\n");
     assert!(refused.line().starts_with("BUSY"));
     // The request fails because its id is in use already.
-    assert_eq!(proxy.open("1").line(), "ERR\r\n");
+    assert_eq!(proxy.send_request("1").line(), "ERR\r\n");
     drop(refused.read_to_end());
     let page = call_console(console, "GET", "/stats").1;
     let count = |name: &str| metric_value(&page, &format!("lb_{name}{{type=\"feed\"}}"));
     assert_eq!((count("success"), count("overload"), count("error"), count("dispatches")), (1, 1, 1, 2));
     drop(established);
-    let deadline = Instant::now() + TEST_TIMEOUT;
+    let deadline = Instant::now() + EVENT_TIMEOUT;
     while metric_value(&call_console(console, "GET", "/stats").1, "lb_concurrent") > 0 {
         assert!(Instant::now() < deadline, "requests that ended are still counted as concurrent");
         std::thread::sleep(Duration::from_millis(50));
@@ -88,7 +88,7 @@
         let (status, _, took) = call_console(console, "GET", path);
         assert!(status == 200 && took < ANSWER_TIMEOUT, "{path}: {status} after {took:?}");
     }
-    proxy.connect("1", &backend);
+    proxy.establish("1", &backend);
     drop(silent);
 }
 
@@ -111,7 +111,7 @@
     // A connection established at the backend that enters maintenance is moved.
     let mut connections = Vec::new();
     for key in 0.. {
-        let client = proxy.open(&format!("5{key}"));
+        let client = proxy.send_request(&format!("5{key}"));
         let (at, mut peer) = accept_at_any(&backends);
         peer.send("UP r\r\n");
         connections.push((at, client, peer));
@@ -128,22 +128,22 @@
     proxy.discovery.publish(&backends[0].entry("ready"));
     let mut at_other = Vec::new();
     for key in 0..20 {
-        at_other.push((proxy.open(&format!("6{key}")), backends[1].accept_open()));
+        at_other.push((proxy.send_request(&format!("6{key}")), backends[1].accept_first_line()));
     }
     assert!(backends[0].has_no_new_connection());
     assert_eq!(post_maintenance("n1", "ready"), 200);
     assert_eq!(metric_value(&call_console(console, "GET", "/stats").1, "lb_targets_disabled"), 0);
     // The next request goes to the returned backend.
-    let _back = proxy.open("7");
-    assert!(backends[0].accept_open().1.contains("OPEN 0a7"));
+    let _back = proxy.send_request("7");
+    assert!(backends[0].accept_first_line().1.contains("OPEN 0a7"));
 }
 
 /// Accepts the next attempt at any backend. Returns the index of the backend, and the connection.
 fn accept_at_any(backends: &[Backend]) -> (usize, Peer) {
-    let deadline = Instant::now() + TEST_TIMEOUT;
+    let deadline = Instant::now() + EVENT_TIMEOUT;
     while Instant::now() < deadline {
         for (i, backend) in backends.iter().enumerate() {
-            if let Some((peer, _)) = backend.try_accept_open() {
+            if let Some((peer, _)) = backend.try_accept_first_line() {
                 return (i, peer);
             }
         }
--- a/crates/pierloom/tests/harness/mod.rs
+++ b/crates/pierloom/tests/harness/mod.rs
@@ -12,12 +12,12 @@
 use std::time::{Duration, Instant};
 
 /// Longest time that a test waits for an event. A wait that takes longer fails the test.
-pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
+pub const EVENT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Polls `condition` until it returns a value; `None` after `TEST_TIMEOUT`.
+/// Polls `condition` until it returns a value; `None` after `EVENT_TIMEOUT`.
 pub fn poll_until<T>(condition: impl Fn() -> Option<T>) -> Option<T> {
-    let start = Instant::now();
-    while start.elapsed() < TEST_TIMEOUT {
+    let started_at = Instant::now();
+    while started_at.elapsed() < EVENT_TIMEOUT {
         if let Some(value) = condition() {
             return Some(value);
         }
@@ -33,7 +33,7 @@
 
 impl Peer {
     pub fn new(stream: TcpStream) -> Self {
-        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+        stream.set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
         Peer { reader: BufReader::new(stream) }
     }
 
@@ -57,7 +57,7 @@
     }
 
     /// Reads the next line, or describes how the connection ended instead.
-    pub fn answer(&mut self) -> String {
+    pub fn line_or_end(&mut self) -> String {
         let mut line = String::new();
         match self.reader.read_line(&mut line) {
             Ok(0) => "closed with no answer".into(),
@@ -71,7 +71,7 @@
         self.stream().set_read_timeout(Some(time)).unwrap();
         let mut line = String::new();
         let read = self.reader.read_line(&mut line);
-        self.stream().set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+        self.stream().set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
         read.ok().map(|_| line)
     }
 
@@ -120,18 +120,18 @@
     }
 
     pub fn accept(&self) -> Peer {
-        Peer::new(self.accepted.recv_timeout(TEST_TIMEOUT).expect("a connection"))
+        Peer::new(self.accepted.recv_timeout(EVENT_TIMEOUT).expect("a connection"))
     }
 
     /// Accepts a connection and reads its first line.
-    pub fn accept_open(&self) -> (Peer, String) {
+    pub fn accept_first_line(&self) -> (Peer, String) {
         let mut peer = self.accept();
         let line = peer.line();
         (peer, line)
     }
 
     /// Accepts a connection and reads its first line, if a connection is waiting.
-    pub fn try_accept_open(&self) -> Option<(Peer, String)> {
+    pub fn try_accept_first_line(&self) -> Option<(Peer, String)> {
         let mut peer = Peer::new(self.accepted.try_recv().ok()?);
         let line = peer.line();
         Some((peer, line))
@@ -210,7 +210,7 @@
 /// only open a watch are left out.
 pub struct DiscoveryCall {
     pub connection: usize,
-    pub from: u64,
+    pub from_index: u64,
     pub at: Instant,
 }
 
@@ -259,7 +259,7 @@
                             return;
                         }
                         let from = head.split("from=").nth(1).and_then(|rest| rest.split('&').next());
-                        let from = from.map_or(0, |from| from.parse().unwrap());
+                        let from_index = from.map_or(0, |from| from.parse().unwrap());
                         let may_wait = !head.contains("hold_ms=0 ");
                         // Only the first call of a connection is queued; later ones continue its watch.
                         let queue_delay = state.0.lock().unwrap().queue_delay;
@@ -270,17 +270,18 @@
                         let is_current = |state: &DiscoveryState| {
                             connection >= state.unanswered_below
                                 && answers_normally(state)
-                                && state.index == from
+                                && state.index == from_index
                         };
                         if !may_wait && is_current(&state.0.lock().unwrap()) {
-                            let body = format!(r#"{{"index":{from},"snapshot":false,"endpoints":[]}}"#);
+                            let body = format!(r#"{{"index":{from_index},"snapshot":false,"endpoints":[]}}"#);
                             peer.send(&http_response(&body, body.len()));
                             continue;
                         }
-                        if sender.send(DiscoveryCall { connection, from, at: Instant::now() }).is_err() {
+                        if sender.send(DiscoveryCall { connection, from_index, at: Instant::now() }).is_err()
+                        {
                             return;
                         }
-                        let (text, closes) = next_answer(&state, from, connection);
+                        let (text, closes) = next_answer(&state, from_index, connection);
                         // The proxy may have closed the connection before it read all of a raw answer.
                         let sent = peer.stream().write_all(text.as_bytes());
                         if closes || sent.is_err() {
@@ -315,7 +316,7 @@
     }
 
     /// Answers again on the connections that `stop_answering` silenced; calls on all others fail.
-    pub fn answer_old_connections(&self) {
+    pub fn answer_old_connections_only(&self) {
         let mut state = self.state.0.lock().unwrap();
         (state.not_failed_below, state.failures, state.unanswered_below) =
             (state.unanswered_below, u32::MAX, 0);
@@ -340,13 +341,18 @@
 }
 
 /// Waits for the next answer to a call. Returns its text, and whether the connection closes after it.
-fn next_answer(shared: &(Mutex<DiscoveryState>, Condvar), from: u64, connection: usize) -> (String, bool) {
+fn next_answer(
+    shared: &(Mutex<DiscoveryState>, Condvar),
+    from_index: u64,
+    connection: usize,
+) -> (String, bool) {
     let fails = |state: &DiscoveryState| state.failures > 0 && connection >= state.not_failed_below;
     let must_wait = |state: &mut DiscoveryState| {
         connection < state.unanswered_below
-            || state.index <= from && !fails(state) && state.raw_answers.is_empty()
+            || state.index <= from_index && !fails(state) && state.raw_answers.is_empty()
     };
-    let mut state = shared.1.wait_timeout_while(shared.0.lock().unwrap(), TEST_TIMEOUT, must_wait).unwrap().0;
+    let mut state =
+        shared.1.wait_timeout_while(shared.0.lock().unwrap(), EVENT_TIMEOUT, must_wait).unwrap().0;
     if fails(&state) {
         state.failures -= 1;
         return ("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".into(), false);
@@ -354,9 +360,10 @@
     if let Some(text) = state.raw_answers.pop_front() {
         return (text, true);
     }
-    let updates = state.updates.iter().filter(|(index, _)| *index > from).map(|(_, entry)| entry.as_str());
+    let updates =
+        state.updates.iter().filter(|(index, _)| *index > from_index).map(|(_, entry)| entry.as_str());
     let entries = updates.collect::<Vec<_>>().join(",");
-    let (index, is_snapshot) = (state.index, from == 0);
+    let (index, is_snapshot) = (state.index, from_index == 0);
     let body = format!(r#"{{"index":{index},"snapshot":{is_snapshot},"endpoints":[{entries}]}}"#);
     (http_response(&body, body.len()), false)
 }
@@ -368,13 +375,13 @@
 
 /// Calls a console. Returns the status and the body of the answer, and how long the call took.
 pub fn call_console(console: SocketAddr, method: &str, path: &str) -> (u16, String, Duration) {
-    let since = Instant::now();
+    let started_at = Instant::now();
     let mut peer = Peer::connect(console);
     peer.send(&format!("{method} {path} HTTP/1.1\r\nHost: staff\r\n\r\n"));
     let (answer, _) = peer.read_to_end();
     let status = answer.split(' ').nth(1).and_then(|status| status.parse().ok()).expect(&answer);
     let body = answer.split_once("\r\n\r\n").expect(&answer).1;
-    (status, body.to_string(), since.elapsed())
+    (status, body.to_string(), started_at.elapsed())
 }
 
 /// The value of a metric on a metrics page, by its full name with labels.
@@ -456,10 +463,15 @@
 }
 
 /// The text of a config file with this discovery address, descriptor limit, endpoint entries and settings.
-pub fn config_text(discovery: SocketAddr, sockets: u32, entries: &str, settings: &str) -> String {
+pub fn config_text(
+    discovery: SocketAddr,
+    configured_descriptors: u32,
+    entries: &str,
+    settings: &str,
+) -> String {
     format!(
         r#"{{"name":"p0","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"00000000000000a7",
- "limits":{{"cores":1.0,"memory_mb":192,"sockets":{sockets}}},
+ "limits":{{"cores":1.0,"memory_mb":192,"sockets":{configured_descriptors}}},
  "known":{{"index":1,"snapshot":true,"endpoints":[{entries}]}},"settings":{settings}}}"#
     )
 }
@@ -468,20 +480,30 @@
     /// Starts a proxy whose initial endpoints are these backends, all ready.
     pub fn start(name: &str, backends: &[&Backend]) -> Self {
         let entries: Vec<String> = backends.iter().map(|backend| backend.entry("ready")).collect();
-        Proxy::start_with(name, 1024, &entries, SETTINGS)
+        Proxy::start_with_settings(name, 1024, &entries, SETTINGS)
     }
 
-    /// Starts a proxy that the system limits to `descriptors`, while its config names `sockets`.
-    pub fn start_limited(name: &str, descriptors: u32, sockets: u32, entries: &[String]) -> Self {
+    /// Starts a proxy that the system limits to `max_descriptors`, while its config names `configured_descriptors`.
+    pub fn start_limited(
+        name: &str,
+        max_descriptors: u32,
+        configured_descriptors: u32,
+        entries: &[String],
+    ) -> Self {
         let mut shell = Command::new("sh");
-        shell.args(["-c", &format!("ulimit -n {descriptors}; exec \"$0\" serve")]);
+        shell.args(["-c", &format!("ulimit -n {max_descriptors}; exec \"$0\" serve")]);
         shell.arg(env!("CARGO_BIN_EXE_pierloom")).stderr(Stdio::piped());
-        Proxy::start_command(shell, name, sockets, entries, SETTINGS)
+        Proxy::start_command(shell, name, configured_descriptors, entries, SETTINGS)
     }
 
     /// Starts a proxy with this descriptor limit, these initial endpoints and these settings.
-    pub fn start_with(name: &str, sockets: u32, entries: &[String], settings: &str) -> Self {
-        Proxy::start_command(program_command(&["serve"]), name, sockets, entries, settings)
+    pub fn start_with_settings(
+        name: &str,
+        configured_descriptors: u32,
+        entries: &[String],
+        settings: &str,
+    ) -> Self {
+        Proxy::start_command(program_command(&["serve"]), name, configured_descriptors, entries, settings)
     }
 
     /// Starts a proxy under `strace` with these arguments; signals go to the proxy itself.
@@ -503,13 +525,13 @@
     /// Starts a proxy with a console. Returns the proxy and the address of its console.
     pub fn start_with_console(
         name: &str,
-        sockets: u32,
+        configured_descriptors: u32,
         entries: &[String],
         settings: &str,
     ) -> (Self, SocketAddr) {
         let mut command = program_command(&["serve"]);
         command.env("LB_CONSOLE", "127.0.0.1:0");
-        let proxy = Proxy::start_command(command, name, sockets, entries, settings);
+        let proxy = Proxy::start_command(command, name, configured_descriptors, entries, settings);
         let line = proxy.next_log_line();
         let console = line.rsplit(' ').next().unwrap().parse().expect(&line);
         (proxy, console)
@@ -555,19 +577,19 @@
     fn start_command(
         mut command: Command,
         name: &str,
-        sockets: u32,
+        configured_descriptors: u32,
         entries: &[String],
         settings: &str,
     ) -> Self {
         let discovery = Discovery::new();
-        let config = config_text(discovery.address, sockets, &entries.join(","), settings);
+        let config = config_text(discovery.address, configured_descriptors, &entries.join(","), settings);
         let config_path = write_config_file(name, &config);
         let mut child = command.env("LB_CONFIG", &config_path).spawn().unwrap();
         let (sender, log) = channel();
         let stderr = BufReader::new(child.stderr.take().unwrap());
         thread::spawn(move || stderr.lines().map_while(Result::ok).try_for_each(|line| sender.send(line)));
         let next_line =
-            || -> String { log.recv_timeout(TEST_TIMEOUT).expect("a line that names the address") };
+            || -> String { log.recv_timeout(EVENT_TIMEOUT).expect("a line that names the address") };
         let first = std::iter::repeat_with(next_line).find(|line| line.contains(" listening on ")).unwrap();
         let address = first.rsplit(' ').next().unwrap().parse().expect(&first);
         Proxy { child, address, discovery, log, config, config_path }
@@ -578,25 +600,25 @@
     }
 
     /// Sends a request with this key, and with an id made from it.
-    pub fn open(&self, key: &str) -> Peer {
+    pub fn send_request(&self, key: &str) -> Peer {
         let mut peer = self.client();
         peer.send(&format!("OPEN 0a{key} {key} c=feed,d=4800\r\n"));
         peer
     }
 
     /// Sends a request and answers it at `backend` with `UP`. Returns the client and the backend connection.
-    pub fn connect(&self, key: &str, backend: &Backend) -> (Peer, Peer) {
-        let mut client = self.open(key);
-        let (mut at_backend, _) = backend.accept_open();
+    pub fn establish(&self, key: &str, backend: &Backend) -> (Peer, Peer) {
+        let mut client = self.send_request(key);
+        let (mut at_backend, _) = backend.accept_first_line();
         at_backend.send("UP r1\r\n");
         assert_eq!(client.line(), "UP r1\r\n");
         (client, at_backend)
     }
 
     /// Sends a request and answers it with `UP` at the backend that it reaches.
-    pub fn connect_any(&self, key: &str, backends: &[Backend]) -> (Peer, Peer) {
-        let mut client = self.open(key);
-        let attempt = || backends.iter().find_map(Backend::try_accept_open);
+    pub fn establish_at_any(&self, key: &str, backends: &[Backend]) -> (Peer, Peer) {
+        let mut client = self.send_request(key);
+        let attempt = || backends.iter().find_map(Backend::try_accept_first_line);
         let mut at_backend = poll_until(attempt).expect("an attempt").0;
         at_backend.send("UP r1\r\n");
         assert_eq!(client.line(), "UP r1\r\n");
@@ -630,7 +652,7 @@
     /// Waits until a proxy in a planned stop refuses new requests.
     pub fn wait_until_stopping(&self) {
         let refused = || {
-            let mut peer = self.open("probe");
+            let mut peer = self.send_request("probe");
             peer.line_within(Duration::from_millis(20)).filter(|line| line.starts_with("BUSY"))
         };
         poll_until(refused).expect("a refusal");
@@ -650,7 +672,7 @@
     }
 
     /// Replaces the config file by one with another discovery address, without a signal.
-    pub fn write_config(&self, discovery: &Discovery) {
+    pub fn replace_discovery_in_config(&self, discovery: &Discovery) {
         self.replace_config(
             &self.config.replace(&self.discovery.address.to_string(), &discovery.address.to_string()),
         );
@@ -674,7 +696,7 @@
     /// so that a test result does not depend on when a second ends.
     pub fn next_log_line(&self) -> String {
         loop {
-            let line = self.log.recv_timeout(TEST_TIMEOUT).expect("a line in the log");
+            let line = self.log.recv_timeout(EVENT_TIMEOUT).expect("a line in the log");
             if !line.contains("ledger") {
                 return line;
             }
@@ -684,7 +706,7 @@
     pub fn wait_for_exit(&mut self) -> ExitStatus {
         // The log ends when the process exits.
         loop {
-            match self.log.recv_timeout(TEST_TIMEOUT) {
+            match self.log.recv_timeout(EVENT_TIMEOUT) {
                 Ok(_) => {}
                 Err(RecvTimeoutError::Disconnected) => return self.child.wait().unwrap(),
                 Err(RecvTimeoutError::Timeout) => panic!("the program does not exit"),
--- a/crates/pierloom/tests/leaving.rs
+++ b/crates/pierloom/tests/leaving.rs
@@ -7,7 +7,7 @@
 #[allow(dead_code)] // each test program uses a part of the harness
 mod harness;
 
-use harness::{Backend, Discovery, Proxy, SETTINGS, TEST_TIMEOUT, http_response};
+use harness::{Backend, Discovery, EVENT_TIMEOUT, Proxy, SETTINGS, http_response};
 use std::net::TcpListener;
 use std::thread;
 use std::time::{Duration, Instant};
@@ -37,8 +37,8 @@
 fn a_call_queued_behind_others_at_discovery_is_not_abandoned() {
     let (backends, discovery) = (backends(), Discovery::new());
     discovery.set_queue_delay(Duration::from_secs(3));
-    let proxies = start_proxies("turn", &discovery, &backends);
-    let connections: Vec<_> = proxies.iter().map(|proxy| proxy.connect_any("k", &backends)).collect();
+    let proxies = start_proxies("queued", &discovery, &backends);
+    let connections: Vec<_> = proxies.iter().map(|proxy| proxy.establish_at_any("k", &backends)).collect();
     let changed_at = Instant::now();
     backends.iter().for_each(|backend| discovery.publish(&backend.entry("draining")));
     for (mut client, _at_backend) in connections {
@@ -55,15 +55,15 @@
 fn a_late_answer_to_a_replaced_call_is_applied() {
     let (backends, discovery) = (backends(), Discovery::new());
     let proxies = start_proxies("late", &discovery, &backends);
-    let connections: Vec<_> = proxies.iter().map(|proxy| proxy.connect_any("k", &backends)).collect();
+    let connections: Vec<_> = proxies.iter().map(|proxy| proxy.establish_at_any("k", &backends)).collect();
     let wait_for_calls =
-        |n: usize| (0..n).for_each(|_| assert!(discovery.calls.recv_timeout(TEST_TIMEOUT).is_ok()));
+        |n: usize| (0..n).for_each(|_| assert!(discovery.calls.recv_timeout(EVENT_TIMEOUT).is_ok()));
     wait_for_calls(3);
     discovery.stop_answering();
     backends.iter().for_each(|backend| discovery.publish(&backend.entry("draining")));
     // Each proxy calls again before its old call gets the missed change. The first new call is enough.
     wait_for_calls(1);
-    discovery.answer_old_connections();
+    discovery.answer_old_connections_only();
     for (mut client, _at_backend) in connections {
         assert_eq!(client.line(), "MOVE\r\n");
     }
@@ -81,7 +81,7 @@
     wait_until_change_takes_effect(changed_at);
     for proxy in &proxies {
         assert!(
-            proxy.open("k").line().starts_with("BUSY"),
+            proxy.send_request("k").line().starts_with("BUSY"),
             "the proxy must refuse, because a retry is harmless"
         );
     }
@@ -91,12 +91,12 @@
     discovery.fail_calls(0);
     for proxy in &proxies {
         let served = || {
-            let mut client = proxy.open("k2");
+            let mut client = proxy.send_request("k2");
             let answer = client.line_within(Duration::from_millis(50));
             answer.is_none_or(|line| !line.starts_with("BUSY")).then_some(client)
         };
         let mut client = harness::poll_until(served).expect("a request that reaches a backend");
-        let (mut at_backend, _) = backends[1].accept_open();
+        let (mut at_backend, _) = backends[1].accept_first_line();
         at_backend.send("UP r1\r\n");
         assert_eq!(client.line(), "UP r1\r\n");
     }
@@ -109,8 +109,8 @@
 fn a_reload_applies_what_the_old_discovery_reports_until_the_new_one_answers() {
     let (backends, old) = (backends(), Discovery::new());
     let mut proxies = start_proxies("moved", &old, &backends);
-    let connections: Vec<_> = proxies.iter().map(|proxy| proxy.connect_any("k", &backends)).collect();
-    (0..3).for_each(|_| assert!(old.calls.recv_timeout(TEST_TIMEOUT).is_ok()));
+    let connections: Vec<_> = proxies.iter().map(|proxy| proxy.establish_at_any("k", &backends)).collect();
+    (0..3).for_each(|_| assert!(old.calls.recv_timeout(EVENT_TIMEOUT).is_ok()));
     for proxy in &mut proxies {
         let new = Discovery::new();
         new.set_queue_delay(Duration::from_secs(3));
@@ -133,22 +133,22 @@
     let (draining, ready) = (Backend::new("leaving"), Backend::new("stays"));
     let mut entries = draining.entries(0..1023, "ready");
     entries.push(ready.entry("ready"));
-    let proxy = Proxy::start_with("thousand", 1024, &entries, SETTINGS);
-    proxy.discovery.calls.recv_timeout(TEST_TIMEOUT).unwrap();
+    let proxy = Proxy::start_with_settings("thousand", 1024, &entries, SETTINGS);
+    proxy.discovery.calls.recv_timeout(EVENT_TIMEOUT).unwrap();
     for (index, is_snapshot) in [(7, false), (8, true)] {
         let mut changes = draining.entries(0..1023, "draining");
         changes.push(ready.entry("ready"));
         let body =
             format!(r#"{{"index":{index},"snapshot":{is_snapshot},"endpoints":[{}]}}"#, changes.join(","));
-        let since = Instant::now();
+        let started_at = Instant::now();
         proxy.discovery.send_raw_answer(http_response(&body, body.len()));
-        assert_eq!(proxy.discovery.calls.recv_timeout(TEST_TIMEOUT).unwrap().from, index);
+        assert_eq!(proxy.discovery.calls.recv_timeout(EVENT_TIMEOUT).unwrap().from_index, index);
         // The drain grace is one second by default. The program is an unoptimised build on a machine with
         // other work.
-        assert!(since.elapsed() < Duration::from_secs(1), "{:?}", since.elapsed());
+        assert!(started_at.elapsed() < Duration::from_secs(1), "{:?}", started_at.elapsed());
         for i in 0..50 {
-            let mut client = proxy.open(&format!("{index}{i}"));
-            let (mut at_backend, _) = ready.accept_open();
+            let mut client = proxy.send_request(&format!("{index}{i}"));
+            let (mut at_backend, _) = ready.accept_first_line();
             at_backend.send("UP r1\r\n");
             assert_eq!(client.line(), "UP r1\r\n");
         }
@@ -163,11 +163,11 @@
 fn an_unreachable_discovery_stops_no_request() {
     let backends = backends();
     let unused_address = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let since = Instant::now();
+    let started_at = Instant::now();
     let proxies: Vec<Proxy> =
         (0..3).map(|i| Proxy::start_with_discovery(&format!("down{i}"), unused_address, &backends)).collect();
-    wait_until_change_takes_effect(since + Duration::from_secs(1));
+    wait_until_change_takes_effect(started_at + Duration::from_secs(1));
     for proxy in &proxies {
-        proxy.connect_any("k", &backends);
+        proxy.establish_at_any("k", &backends);
     }
 }
--- a/crates/pierloom/tests/proxy.rs
+++ b/crates/pierloom/tests/proxy.rs
@@ -6,7 +6,7 @@
 mod harness;
 
 use harness::{
-    Backend, Discovery, Peer, Proxy, SETTINGS, TEST_TIMEOUT, config_text, entry, http_response,
+    Backend, Discovery, EVENT_TIMEOUT, Peer, Proxy, SETTINGS, config_text, entry, http_response,
     program_command, write_config_file,
 };
 use std::time::{Duration, Instant};
@@ -26,7 +26,7 @@
     client.send("PING\r\n");
     assert_eq!(client.line(), "PONG\r\n");
     client.send("OPEN 9b1f 7f3a zz=1,c=feed,d=2000,g=5c0f,again=1,new=x\r\n");
-    let (mut at_backend, line) = backend.accept_open();
+    let (mut at_backend, line) = backend.accept_first_line();
     // Only `d` differs: its value is how long the proxy itself waits.
     let (before, rest) = line.split_once("d=").unwrap();
     let (wait_ms, after) = rest.split_once(',').unwrap();
@@ -52,14 +52,14 @@
 fn ends_and_resets_of_either_side_are_relayed_to_the_other() {
     let backend = Backend::new("n");
     let proxy = Proxy::start("ends", &[&backend]);
-    let (client, mut at_backend) = proxy.connect("k1", &backend);
+    let (client, mut at_backend) = proxy.establish("k1", &backend);
     client.shutdown_write();
     assert_eq!(at_backend.read_to_end(), (String::new(), false));
-    let (client, mut at_backend) = proxy.connect("k2", &backend);
+    let (client, mut at_backend) = proxy.establish("k2", &backend);
     client.reset();
     assert!(at_backend.read_to_end().1, "a reset");
     // This case is last because the decision module avoids a backend that broke a connection.
-    let (mut client, at_backend) = proxy.connect("k3", &backend);
+    let (mut client, at_backend) = proxy.establish("k3", &backend);
     at_backend.reset();
     assert!(client.read_to_end().1, "a reset");
 }
@@ -105,12 +105,12 @@
     proxy.client().reset();
     assert!(backend.has_no_new_connection());
     // A client that sends more before its answer gets an error too, and its attempt is closed.
-    let mut early_sender = proxy.open("k");
-    let (mut at_backend, _) = backend.accept_open();
+    let mut early_sender = proxy.send_request("k");
+    let (mut at_backend, _) = backend.accept_first_line();
     early_sender.send("m\r\n");
     assert_eq!(early_sender.line(), "ERR\r\n");
     assert_eq!(at_backend.read_to_end(), (String::new(), false));
-    proxy.connect("k", &backend);
+    proxy.establish("k", &backend);
 }
 
 // Guards a request against another client that sends a request with the same id. The second request is not
@@ -119,8 +119,8 @@
 fn a_request_with_an_id_in_use_gets_err_and_the_first_one_continues() {
     let backend = Backend::new("n");
     let proxy = Proxy::start("same", &[&backend]);
-    let (mut client, mut at_backend) = proxy.connect("k", &backend);
-    let mut other = proxy.open("k");
+    let (mut client, mut at_backend) = proxy.establish("k", &backend);
+    let mut other = proxy.send_request("k");
     assert_eq!(other.line(), "ERR\r\n");
     assert_eq!(other.read_to_end(), (String::new(), false));
     client.send("m\r\n");
@@ -137,7 +137,7 @@
 fn clients_without_a_request_are_refused_within_three_seconds_and_block_no_others() {
     let backend = Backend::new("n");
     let proxy = Proxy::start_limited("silence", 128, 128, &[backend.entry("ready")]);
-    let start = Instant::now();
+    let started_at = Instant::now();
     let idle_clients: Vec<Peer> = (0..300)
         .map(|i| {
             let mut peer = proxy.client();
@@ -149,13 +149,13 @@
             peer
         })
         .collect();
-    let (mut client, mut at_backend) = proxy.connect("k", &backend);
+    let (mut client, mut at_backend) = proxy.establish("k", &backend);
     for mut peer in idle_clients {
         let received = peer.read_to_end().0;
         let answer = received.strip_prefix("PONG\r\n").unwrap_or(&received);
         assert!(["ERR\r\n", "BUSY 1000\r\n"].contains(&answer), "{received:?}");
     }
-    assert!(start.elapsed() < 3 * SECOND, "{:?}", start.elapsed());
+    assert!(started_at.elapsed() < 3 * SECOND, "{:?}", started_at.elapsed());
     client.send("m\r\n");
     assert_eq!(at_backend.line(), "m\r\n");
 }
@@ -176,7 +176,7 @@
     assert_eq!(client.line(), "ERR\r\n");
     writer.join().unwrap();
     assert!(proxy.peak_memory_kb() < 32 << 10);
-    proxy.connect("k", &backend);
+    proxy.establish("k", &backend);
 }
 
 #[test]
@@ -187,12 +187,12 @@
     let answers = ["BUSY\r\n", "ERR\r\n", "MOVE\r\n", "what\r\n", ""];
     for (i, answer) in answers.iter().enumerate() {
         // Each answer is tried with a new proxy: a proxy that has seen failures avoids these backends.
-        let proxy = Proxy::start_with(&format!("attempts{i}"), 1024, &entries, SETTINGS);
-        let mut client = proxy.open(&format!("k{i}"));
+        let proxy = Proxy::start_with_settings(&format!("attempts{i}"), 1024, &entries, SETTINGS);
+        let mut client = proxy.send_request(&format!("k{i}"));
         // Each attempt is closed before the next one. The client's last line is a single refusal.
         let (mut attempts, mut final_answer) = (0, None);
         while final_answer.is_none() && attempts < 4 {
-            let attempt = backends.iter().find_map(|backend| backend.try_accept_open());
+            let attempt = backends.iter().find_map(|backend| backend.try_accept_first_line());
             match attempt {
                 Some((mut at_backend, line)) => {
                     assert!(line.starts_with(&format!("OPEN 0ak{i} k{i} ")));
@@ -222,7 +222,7 @@
     client.send("OPEN 0a k c=feed,d=1500\r\n");
     let mut attempts: Vec<(Peer, String)> = Vec::new();
     let answer = loop {
-        if let Some(attempt) = backends.iter().find_map(|backend| backend.try_accept_open()) {
+        if let Some(attempt) = backends.iter().find_map(|backend| backend.try_accept_first_line()) {
             // The previous attempt is closed by now.
             if let Some((previous, _)) = attempts.last_mut() {
                 assert_eq!(previous.read_to_end(), (String::new(), false));
@@ -246,7 +246,7 @@
     let mut client = proxy.client();
     // Without the client's end the attempt would last a third of this time.
     client.send("OPEN 0a k c=feed,d=40000\r\n");
-    let (mut at_backend, _) = backend.accept_open();
+    let (mut at_backend, _) = backend.accept_first_line();
     let left_at = Instant::now();
     drop(client);
     assert_eq!(at_backend.read_to_end(), (String::new(), false));
@@ -256,12 +256,12 @@
 #[test]
 fn a_resumed_connection_goes_to_its_backend_and_is_moved_when_the_backend_drains() {
     let backends = [Backend::new("n0"), Backend::new("n1")];
-    let proxy = Proxy::start("stood", &[&backends[0], &backends[1]]);
+    let proxy = Proxy::start("resumed", &[&backends[0], &backends[1]]);
     let mut connections = Vec::new();
     for i in 0..4 {
         let mut client = proxy.client();
         client.send(&format!("OPEN 0a{i} k{i} c=feed,d=4800,at=n1\r\n"));
-        let (mut at_backend, line) = backends[1].accept_open();
+        let (mut at_backend, line) = backends[1].accept_first_line();
         assert!(line.ends_with(",at=n1\r\n"), "{line}");
         at_backend.send("UP r\r\n");
         assert_eq!(client.line(), "UP r\r\n");
@@ -279,9 +279,9 @@
 #[test]
 fn a_move_waits_for_the_end_of_a_line() {
     let backend = Backend::new("n");
-    let proxy = Proxy::start("between", &[&backend]);
-    let (mut client, mut at_backend) = proxy.connect("k", &backend);
-    let (mut other, _at_backend) = proxy.connect("k2", &backend);
+    let proxy = Proxy::start("mid-line", &[&backend]);
+    let (mut client, mut at_backend) = proxy.establish("k", &backend);
+    let (mut other, _at_backend) = proxy.establish("k2", &backend);
     at_backend.send("half ");
     assert_eq!(client.read(5), b"half ");
     proxy.discovery.publish(&backend.entry("draining"));
@@ -298,8 +298,8 @@
     let backend = Backend::new("n");
     // Without a message target no measurement reports delays; unanswered messages are reported all the same.
     let settings = SETTINGS.replace("[0.06]", "[null]");
-    let proxy = Proxy::start_with("silent", 1024, &[backend.entry("ready")], &settings);
-    let (mut client, _at_backend) = proxy.connect("k", &backend);
+    let proxy = Proxy::start_with_settings("silent", 1024, &[backend.entry("ready")], &settings);
+    let (mut client, _at_backend) = proxy.establish("k", &backend);
     let sent_at = Instant::now();
     client.send("M\r\n");
     assert_eq!(client.line(), "MOVE\r\n");
@@ -310,21 +310,21 @@
 fn the_watch_stays_on_one_connection_and_failed_calls_are_retried_after_growing_delays() {
     let backend = Backend::new("n");
     let proxy = Proxy::start("watch", &[&backend]);
-    let first = proxy.discovery.calls.recv_timeout(TEST_TIMEOUT).unwrap();
-    assert_eq!((first.connection, first.from), (0, 1));
+    let first = proxy.discovery.calls.recv_timeout(EVENT_TIMEOUT).unwrap();
+    assert_eq!((first.connection, first.from_index), (0, 1));
     let published_at = Instant::now();
     proxy.discovery.publish(&backend.entry("ready"));
-    let second = proxy.discovery.calls.recv_timeout(TEST_TIMEOUT).unwrap();
-    assert_eq!((second.connection, second.from), (0, 2));
+    let second = proxy.discovery.calls.recv_timeout(EVENT_TIMEOUT).unwrap();
+    assert_eq!((second.connection, second.from_index), (0, 2));
     // The rule allows 200 ms between two calls; a slow test machine may use up a part of them.
     assert!(second.at - published_at < Duration::from_millis(200));
     let failed_at = Instant::now();
     proxy.discovery.fail_calls(6);
-    let calls: Vec<_> = (0..6).map(|_| proxy.discovery.calls.recv_timeout(TEST_TIMEOUT).unwrap()).collect();
-    assert!(calls.iter().all(|call| call.from == 2));
+    let calls: Vec<_> = (0..6).map(|_| proxy.discovery.calls.recv_timeout(EVENT_TIMEOUT).unwrap()).collect();
+    assert!(calls.iter().all(|call| call.from_index == 2));
     assert!(calls[5].at - failed_at > Duration::from_millis(50), "the delay grows with each failure");
     // The watch is open again: the next change arrives.
-    let (mut client, _at_backend) = proxy.connect("k", &backend);
+    let (mut client, _at_backend) = proxy.establish("k", &backend);
     proxy.discovery.publish(&backend.entry("draining"));
     assert_eq!(client.line(), "MOVE\r\n");
 }
@@ -335,17 +335,17 @@
 fn a_silent_watch_is_reopened_before_missed_changes_must_be_obeyed() {
     let backends = [Backend::new("n0"), Backend::new("n1")];
     let proxies: Vec<Proxy> =
-        (0..3).map(|i| Proxy::start(&format!("mute{i}"), &[&backends[0], &backends[1]])).collect();
-    let connections: Vec<_> = proxies.iter().map(|proxy| proxy.connect_any("k", &backends)).collect();
+        (0..3).map(|i| Proxy::start(&format!("silent-watch{i}"), &[&backends[0], &backends[1]])).collect();
+    let connections: Vec<_> = proxies.iter().map(|proxy| proxy.establish_at_any("k", &backends)).collect();
     for proxy in &proxies {
-        assert_eq!(proxy.discovery.calls.recv_timeout(TEST_TIMEOUT).unwrap().from, 1);
+        assert_eq!(proxy.discovery.calls.recv_timeout(EVENT_TIMEOUT).unwrap().from_index, 1);
         proxy.discovery.stop_answering();
         backends.iter().for_each(|backend| proxy.discovery.publish(&backend.entry("draining")));
     }
     let published_at = Instant::now();
     for ((mut client, _at_backend), proxy) in connections.into_iter().zip(&proxies) {
         // The next call misses no change that was published in between.
-        assert_eq!(proxy.discovery.calls.recv_timeout(TEST_TIMEOUT).unwrap().from, 1);
+        assert_eq!(proxy.discovery.calls.recv_timeout(EVENT_TIMEOUT).unwrap().from_index, 1);
         assert_eq!(client.line(), "MOVE\r\n");
     }
     assert!(published_at.elapsed() < 6 * SECOND, "{:?}", published_at.elapsed());
@@ -356,9 +356,9 @@
 #[test]
 fn an_invalid_endpoint_list_leaves_the_last_valid_one_in_effect() {
     let backend = Backend::new("n");
-    let proxy = Proxy::start("spoilt", &[&backend]);
-    let (mut client, _at_backend) = proxy.connect("k", &backend);
-    proxy.discovery.calls.recv_timeout(TEST_TIMEOUT).unwrap();
+    let proxy = Proxy::start("invalid-list", &[&backend]);
+    let (mut client, _at_backend) = proxy.establish("k", &backend);
+    proxy.discovery.calls.recv_timeout(EVENT_TIMEOUT).unwrap();
     let gone = format!(r#"{{"index":9,"snapshot":true,"endpoints":[{}"#, backend.entry("gone"));
     let oversized =
         format!(r#"{{"index":9,"snapshot":true,"endpoints":[],"more":"{}"}}"#, "x".repeat(5 << 20));
@@ -371,8 +371,8 @@
     ] {
         proxy.discovery.send_raw_answer(http_response(body, body.len() + missing_bytes));
         // The next call shows that the answer was processed; it watches from the last valid index.
-        assert_eq!(proxy.discovery.calls.recv_timeout(TEST_TIMEOUT).unwrap().from, 1);
-        proxy.connect("k2", &backend);
+        assert_eq!(proxy.discovery.calls.recv_timeout(EVENT_TIMEOUT).unwrap().from_index, 1);
+        proxy.establish("k2", &backend);
     }
     proxy.discovery.publish(&backend.entry("draining"));
     assert_eq!(client.line(), "MOVE\r\n");
@@ -382,12 +382,12 @@
 fn a_planned_stop_answers_new_requests_and_moves_all_clients_in_time() {
     let backend = Backend::new("n");
     let mut proxy = Proxy::start("stop", &[&backend]);
-    let mut connections: Vec<_> = (0..12).map(|i| proxy.connect(&format!("k{i}"), &backend)).collect();
+    let mut connections: Vec<_> = (0..12).map(|i| proxy.establish(&format!("k{i}"), &backend)).collect();
     let signaled_at = Instant::now();
     proxy.signal("-TERM");
-    let mut unanswered = proxy.open("late");
-    let _silent_attempt = backend.accept_open();
-    connections.push(proxy.connect("new", &backend));
+    let mut unanswered = proxy.send_request("late");
+    let _silent_attempt = backend.accept_first_line();
+    connections.push(proxy.establish("new", &backend));
     let mut move_times = Vec::new();
     for (client, _) in &mut connections {
         assert_eq!(client.line(), "MOVE\r\n");
@@ -410,8 +410,8 @@
 fn a_reload_switches_to_another_discovery_and_keeps_all_connections() {
     let backends = [Backend::new("n0"), Backend::new("n1")];
     let mut proxy = Proxy::start("reload", &[&backends[0]]);
-    let (mut client, mut at_backend) = proxy.connect("k", &backends[0]);
-    assert_eq!(proxy.discovery.calls.recv_timeout(TEST_TIMEOUT).unwrap().from, 1);
+    let (mut client, mut at_backend) = proxy.establish("k", &backends[0]);
+    assert_eq!(proxy.discovery.calls.recv_timeout(EVENT_TIMEOUT).unwrap().from_index, 1);
     proxy.reload("{\"name\":");
     assert!(proxy.next_log_line().contains("the old config stays"));
     for round in 0..2 {
@@ -422,9 +422,9 @@
         assert!(proxy.next_log_line().contains(&proxy.discovery.address.to_string()));
         // The proxy first asks for a snapshot, then watches from the snapshot's index on the same connection.
         let calls: Vec<_> =
-            (0..2).map(|_| proxy.discovery.calls.recv_timeout(TEST_TIMEOUT).unwrap()).collect();
+            (0..2).map(|_| proxy.discovery.calls.recv_timeout(EVENT_TIMEOUT).unwrap()).collect();
         assert_eq!(
-            calls.iter().map(|call| (call.connection, call.from)).collect::<Vec<_>>(),
+            calls.iter().map(|call| (call.connection, call.from_index)).collect::<Vec<_>>(),
             [(0, 0), (0, 3)]
         );
         assert!(old.calls.try_recv().is_err(), "the old discovery receives no more calls");
@@ -433,12 +433,12 @@
     }
     proxy.discovery.publish(&backends[0].entry("draining"));
     assert_eq!(client.line(), "MOVE\r\n");
-    proxy.connect("k2", &backends[1]);
+    proxy.establish("k2", &backends[1]);
     // A reload of the same config changes nothing, and a planned stop works as before.
     proxy.signal("-HUP");
     proxy.signal("-TERM");
     assert!(proxy.wait_for_exit().success());
-    assert!(proxy.discovery.calls.try_iter().all(|call| call.from > 0));
+    assert!(proxy.discovery.calls.try_iter().all(|call| call.from_index > 0));
 }
 
 // Guards against a proxy that keeps using a discovery service that is gone, because its config file was
@@ -451,28 +451,28 @@
     next.publish(&backend.entry("ready"));
     proxy.reload("{\"name\":");
     assert!(proxy.next_log_line().contains("the old config stays"));
-    proxy.write_config(&next);
+    proxy.replace_discovery_in_config(&next);
     assert!(
         proxy.next_log_line().contains(&next.address.to_string()),
         "one error message, then the new discovery"
     );
-    assert_eq!(next.calls.recv_timeout(TEST_TIMEOUT).unwrap().from, 0);
+    assert_eq!(next.calls.recv_timeout(EVENT_TIMEOUT).unwrap().from_index, 0);
 }
 
 #[test]
 fn probes_reuse_one_connection_and_a_backend_at_capacity_gets_no_request() {
     let backend = Backend::new("n");
     let settings = SETTINGS.replace("\"max-attempts\"", "\"may-probe\":true,\"max-attempts\"");
-    let proxy = Proxy::start_with("probes", 1024, &[backend.entry("ready")], &settings);
-    let _client = proxy.open("k");
-    let (mut probe, line) = backend.accept_open();
+    let proxy = Proxy::start_with_settings("probes", 1024, &[backend.entry("ready")], &settings);
+    let _client = proxy.send_request("k");
+    let (mut probe, line) = backend.accept_first_line();
     assert_eq!(line, "STATS\r\n");
     probe.send("PONG x0=0.4,svc_ms=11.5\r\n");
-    let (_at_backend, line) = backend.accept_open();
+    let (_at_backend, line) = backend.accept_first_line();
     assert!(line.starts_with("OPEN "), "{line}");
     // A load report is valid for a second. The probe for the next request reuses the existing connection.
     std::thread::sleep(SECOND);
-    let mut next = proxy.open("k2");
+    let mut next = proxy.send_request("k2");
     assert_eq!(probe.line(), "STATS\r\n");
     probe.send("PONG x0=1.4,svc_ms=400\r\n");
     assert!(next.line().starts_with("BUSY "), "a backend at capacity gets no request");
@@ -482,9 +482,9 @@
 fn clients_beyond_the_limit_are_refused_until_a_slot_is_free() {
     let backend = Backend::new("n");
     // The limit leaves descriptors for two requests beside the reserved ones.
-    let proxy = Proxy::start_with("limits", 60, &[backend.entry("ready")], SETTINGS);
-    let mut connections: Vec<_> = (0..2).map(|i| proxy.connect(&format!("k{i}"), &backend)).collect();
-    let mut third = proxy.open("k3");
+    let proxy = Proxy::start_with_settings("limits", 60, &[backend.entry("ready")], SETTINGS);
+    let mut connections: Vec<_> = (0..2).map(|i| proxy.establish(&format!("k{i}"), &backend)).collect();
+    let mut third = proxy.send_request("k3");
     assert_eq!(third.line(), "BUSY 1000\r\n");
     assert_eq!(third.read_to_end(), (String::new(), false));
     let (mut client, mut at_backend) = connections.pop().unwrap();
@@ -493,13 +493,13 @@
     assert_eq!(client.read_to_end().0, "BYE\r\n");
     drop((client, at_backend));
     // The slot is free once the task of the request has ended, a moment after the end was relayed.
-    let start = Instant::now();
-    while start.elapsed() < TEST_TIMEOUT {
-        let mut next = proxy.open("k4");
+    let started_at = Instant::now();
+    while started_at.elapsed() < EVENT_TIMEOUT {
+        let mut next = proxy.send_request("k4");
         if let Some(line) = next.line_within(Duration::from_millis(50)) {
             assert_eq!(line, "BUSY 1000\r\n");
         } else {
-            return backend.accept_open().0.send("UP r\r\n");
+            return backend.accept_first_line().0.send("UP r\r\n");
         }
     }
     panic!("the slot is never free");
@@ -514,15 +514,15 @@
     // Some of the clients were accepted only to be refused.
     let lines = idle_clients.into_iter().filter_map(|mut peer| peer.line_within(Duration::from_millis(100)));
     assert!(lines.into_iter().any(|line| line == "BUSY 1000\r\n"));
-    proxy.connect("k", &backend);
+    proxy.establish("k", &backend);
 }
 
 #[test]
 fn a_request_answered_with_bye_before_up_is_not_retried() {
     let backend = Backend::new("n");
     let proxy = Proxy::start("bye", &[&backend]);
-    let mut client = proxy.open("k");
-    let (mut at_backend, _) = backend.accept_open();
+    let mut client = proxy.send_request("k");
+    let (mut at_backend, _) = backend.accept_first_line();
     at_backend.send("BYE\r\n");
     assert_eq!(client.read_to_end(), ("BYE\r\n".into(), false));
     assert!(backend.has_no_new_connection());
@@ -582,7 +582,7 @@
 fn a_client_that_floods_does_not_delay_others() {
     let backend = Backend::new("n");
     let proxy = Proxy::start("flood", &[&backend]);
-    let (flooding_client, at_backend) = proxy.connect("f", &backend);
+    let (flooding_client, at_backend) = proxy.establish("f", &backend);
     std::thread::spawn(move || {
         let (mut at_backend, mut buffer) = (at_backend.stream().try_clone().unwrap(), vec![0; 1 << 18]);
         while std::io::Read::read(&mut at_backend, &mut buffer).is_ok_and(|read| read > 0) {}
@@ -592,10 +592,10 @@
         while std::io::Write::write_all(&mut flooding_client.stream(), &block).is_ok() {}
     });
     for n in 0..100 {
-        let since = Instant::now();
+        let started_at = Instant::now();
         let mut other = proxy.client();
         other.send("PING\r\n");
         assert_eq!(other.line(), "PONG\r\n");
-        assert!(since.elapsed() < SECOND, "{n}: {:?}", since.elapsed());
+        assert!(started_at.elapsed() < SECOND, "{n}: {:?}", started_at.elapsed());
     }
 }
--- a/crates/pierloom/tests/soak.rs
+++ b/crates/pierloom/tests/soak.rs
@@ -15,18 +15,18 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const PROXIES: usize = 3;
-const BACKENDS: usize = 4;
-const CLIENTS: usize = 12;
+const PROXY_COUNT: usize = 3;
+const BACKEND_COUNT: usize = 4;
+const CLIENT_COUNT: usize = 12;
 /// How long a run lasts. This also holds for runs whose watches go silent, although the changes that they
 /// miss must be obeyed only six seconds later.
 const RUN_DURATION: Duration = Duration::from_millis(4_500);
 /// The deadline of the request class in these runs.
 const DEADLINE_MS: u64 = 900;
 /// For this long after a drain is published, requests may still reach the backend.
-const DRAIN_GRACE: Duration = Duration::from_millis(1_000);
+const DRAIN_WINDOW: Duration = Duration::from_millis(1_000);
 /// On real sockets every time limit is longer by this time.
-const SOCKET_SLACK: Duration = Duration::from_millis(50);
+const TIME_LIMIT_TOLERANCE: Duration = Duration::from_millis(50);
 /// The earliest time after SIGTERM at which the process would be killed.
 const MIN_KILL_DELAY: Duration = Duration::from_millis(DEADLINE_MS + 700);
 /// How long new clients still come to a proxy after its SIGTERM.
@@ -109,9 +109,9 @@
 
     /// Reads the next line. The error says how the connection ended instead, or that no line came within
     /// the time.
-    fn answer(&mut self, within: Duration) -> Result<String, &'static str> {
-        let since = Instant::now();
-        while since.elapsed() < within {
+    fn line_or_end(&mut self, within: Duration) -> Result<String, &'static str> {
+        let started_at = Instant::now();
+        while started_at.elapsed() < within {
             match self.read() {
                 ReadOutcome::Line(line) => return Ok(line),
                 ReadOutcome::TimedOut => {}
@@ -127,7 +127,7 @@
 struct Run {
     proxies: Vec<SocketAddr>,
     /// Whether a proxy gets no more new clients.
-    without_new_clients: [AtomicBool; PROXIES],
+    without_new_clients: [AtomicBool; PROXY_COUNT],
     finished: AtomicBool,
     /// Whether a backend closes connections, so that established connections may end without MOVE.
     backend_closes: AtomicBool,
@@ -147,7 +147,7 @@
             if self.finished.load(Ordering::Relaxed) {
                 return;
             }
-            let proxy = random.below(PROXIES);
+            let proxy = random.below(PROXY_COUNT);
             if self.without_new_clients[proxy].load(Ordering::Relaxed) {
                 continue;
             }
@@ -161,7 +161,7 @@
                 continue;
             }
             // The answer to a request must come half a second after its deadline at the latest.
-            match client.answer(Duration::from_millis(DEADLINE_MS + 500)) {
+            match client.line_or_end(Duration::from_millis(DEADLINE_MS + 500)) {
                 Ok(line) if line.starts_with("UP ") => self.use_connection(number, &mut client, random),
                 Ok(line) if line.starts_with("BUSY") || line.starts_with("ERR") => {
                     self.expect_no_more_lines(number, &mut client)
@@ -175,7 +175,7 @@
 
     /// Reports a violation if another line follows a final answer.
     fn expect_no_more_lines(&self, number: usize, client: &mut Client) {
-        if let Ok(line) = client.answer(Duration::from_millis(200)) {
+        if let Ok(line) = client.line_or_end(Duration::from_millis(200)) {
             self.report(format!("client {number}: a second answer {line:?}"));
         }
     }
@@ -187,7 +187,7 @@
             if self.finished.load(Ordering::Relaxed) || client.reader.get_mut().write_all(b"m\r\n").is_err() {
                 return;
             }
-            match client.answer(Duration::from_millis(100)) {
+            match client.line_or_end(Duration::from_millis(100)) {
                 Ok(line) if line == "MOVE\r\n" => return,
                 Ok(_) | Err("no answer") => {}
                 // The backend may have closed the connection; a proxy may not close it without MOVE.
@@ -221,16 +221,16 @@
 /// Runs one seed. Returns the violations, and how many requests were served.
 fn run_seed(seed: u64) -> (Vec<String>, usize) {
     let mut random = Random(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15));
-    let backends: Vec<_> = (0..BACKENDS).map(|_| start_backend()).collect();
+    let backends: Vec<_> = (0..BACKEND_COUNT).map(|_| start_backend()).collect();
     let entry_of = |i: usize, status| entry(&format!("s-{i}"), backends[i].0, status);
-    let entries: Vec<String> = (0..BACKENDS).map(|i| entry_of(i, "ready")).collect();
+    let entries: Vec<String> = (0..BACKEND_COUNT).map(|i| entry_of(i, "ready")).collect();
     let settings =
         SETTINGS.replace("\"deadline\":4.8", &format!("\"deadline\":{}", DEADLINE_MS as f64 / 1e3));
     let start = |i: usize, random: &mut Random| {
         let fault = SYSCALL_FAULTS[random.below(SYSCALL_FAULTS.len())];
         Proxy::start_traced(&format!("soak-{seed}-{i}"), fault, &entries, &settings)
     };
-    let mut proxies: Vec<Proxy> = (0..PROXIES).map(|i| start(i, &mut random)).collect();
+    let mut proxies: Vec<Proxy> = (0..PROXY_COUNT).map(|i| start(i, &mut random)).collect();
     let run = Arc::new(Run {
         proxies: proxies.iter().map(|proxy| proxy.address).collect(),
         without_new_clients: Default::default(),
@@ -239,7 +239,7 @@
         violations: Mutex::default(),
         served: Mutex::default(),
     });
-    let clients: Vec<_> = (0..CLIENTS)
+    let clients: Vec<_> = (0..CLIENT_COUNT)
         .map(|number| {
             let (run, mut random) = (run.clone(), Random(seed ^ (number as u64) << 32 | 1));
             thread::spawn(move || run.run_client(number, &mut random))
@@ -252,10 +252,10 @@
     if silent {
         proxies.iter().for_each(|proxy| proxy.discovery.stop_answering());
     }
-    let draining = random.below(BACKENDS);
+    let draining = random.below(BACKEND_COUNT);
     proxies.iter().for_each(|proxy| proxy.discovery.publish(&entry_of(draining, "draining")));
     let published_at = Instant::now();
-    let faulty = (draining + 1) % BACKENDS;
+    let faulty = (draining + 1) % BACKEND_COUNT;
     match random.below(3) {
         0 => {
             run.backend_closes.store(true, Ordering::Relaxed);
@@ -264,11 +264,11 @@
         1 => backends[faulty].1.hangs.store(true, Ordering::Relaxed),
         _ => {}
     }
-    let suspended = random.below(PROXIES);
+    let suspended = random.below(PROXY_COUNT);
     proxies[suspended].signal("-STOP");
     thread::sleep(Duration::from_millis(150));
     proxies[suspended].signal("-CONT");
-    let stopping = random.below(PROXIES);
+    let stopping = random.below(PROXY_COUNT);
     for _ in 0..random.below(3) {
         proxies[stopping].signal("-HUP");
     }
@@ -276,12 +276,12 @@
     for _ in 0..1 + random.below(2) {
         proxies[stopping].signal("-TERM");
     }
-    let terminated_at = Instant::now();
+    let signaled_at = Instant::now();
     thread::sleep(NEW_CLIENTS_AFTER_SIGTERM);
     run.without_new_clients[stopping].store(true, Ordering::Relaxed);
     let status = proxies[stopping].wait_for_exit();
-    if !status.success() || terminated_at.elapsed() > MIN_KILL_DELAY {
-        run.report(format!("proxy {stopping} ended {:?} after SIGTERM: {status:?}", terminated_at.elapsed()));
+    if !status.success() || signaled_at.elapsed() > MIN_KILL_DELAY {
+        run.report(format!("proxy {stopping} ended {:?} after SIGTERM: {status:?}", signaled_at.elapsed()));
     }
     wait_until(RUN_DURATION);
     run.finished.store(true, Ordering::Relaxed);
@@ -292,7 +292,7 @@
         .lock()
         .unwrap()
         .iter()
-        .filter(|&&at| at > published_at + DRAIN_GRACE + SOCKET_SLACK)
+        .filter(|&&at| at > published_at + DRAIN_WINDOW + TIME_LIMIT_TOLERANCE)
         .count();
     if !silent && late_requests > 0 {
         run.report(format!("{late_requests} requests at a backend that had been reported as draining"));
@@ -310,7 +310,7 @@
     let mut failures = Vec::new();
     for seed in seeds.clone() {
         let (violations, served) = run_seed(seed);
-        if !violations.is_empty() || served < CLIENTS {
+        if !violations.is_empty() || served < CLIENT_COUNT {
             failures.push(format!("seed {seed}: {served} served, {violations:#?}"));
         }
     }
--- a/crates/pierloom/tests/stops.rs
+++ b/crates/pierloom/tests/stops.rs
@@ -64,26 +64,30 @@
     for deadline in [0.05, 0.2, 0.5] {
         let settings = SETTINGS.replace("\"deadline\":4.8", &format!("\"deadline\":{deadline}"));
         let backend = Backend::new("n");
-        let mut proxy = Proxy::start_with("stop-short", 1024, &[backend.entry("ready")], &settings);
+        let mut proxy = Proxy::start_with_settings("stop-short", 1024, &[backend.entry("ready")], &settings);
         let mut connections: Vec<(Peer, Peer)> =
-            (0..5).map(|i| connect(&proxy, &backend, i, deadline)).collect();
-        let signalled = Instant::now();
+            (0..5).map(|i| establish(&proxy, &backend, i, deadline)).collect();
+        let signaled_at = Instant::now();
         proxy.signal("-TERM");
         for (client, _) in &mut connections {
-            assert_eq!(client.answer(), "MOVE\r\n", "deadline {deadline} s");
+            assert_eq!(client.line_or_end(), "MOVE\r\n", "deadline {deadline} s");
         }
         drop(connections);
         assert!(proxy.wait_for_exit().success());
         let kill = Duration::from_secs_f64(deadline + 0.7);
-        assert!(signalled.elapsed() < kill, "deadline {deadline} s: ended after {:?}", signalled.elapsed());
+        assert!(
+            signaled_at.elapsed() < kill,
+            "deadline {deadline} s: ended after {:?}",
+            signaled_at.elapsed()
+        );
     }
 }
 
 /// Establishes a connection whose client waits as long as the deadline of its class.
-fn connect(proxy: &Proxy, backend: &Backend, number: usize, deadline_seconds: f64) -> (Peer, Peer) {
+fn establish(proxy: &Proxy, backend: &Backend, number: usize, deadline_seconds: f64) -> (Peer, Peer) {
     let mut client = proxy.client();
     client.send(&format!("OPEN 0a{number} k{number} c=feed,d={}\r\n", (deadline_seconds * 1e3) as u64));
-    let (mut at_backend, _) = backend.accept_open();
+    let (mut at_backend, _) = backend.accept_first_line();
     at_backend.send("UP r1\r\n");
     assert_eq!(client.line(), "UP r1\r\n");
     (client, at_backend)
@@ -95,12 +99,12 @@
 fn a_client_that_shuts_down_its_write_side_is_answered() {
     let backend = Backend::new("n");
     let proxy = Proxy::start("half-closed", &[&backend]);
-    let mut early = proxy.open("a");
+    let mut early = proxy.send_request("a");
     early.shutdown_write();
-    assert_eq!(early.answer(), "ERR\r\n", "shut down with the request");
-    let mut late = proxy.open("b");
-    let (at_backend, _) = poll_until(|| backend.try_accept_open()).expect("an attempt");
+    assert_eq!(early.line_or_end(), "ERR\r\n", "shut down with the request");
+    let mut late = proxy.send_request("b");
+    let (at_backend, _) = poll_until(|| backend.try_accept_first_line()).expect("an attempt");
     late.shutdown_write();
-    assert_eq!(late.answer(), "ERR\r\n", "shut down during an attempt");
+    assert_eq!(late.line_or_end(), "ERR\r\n", "shut down during an attempt");
     drop(at_backend);
 }
--- a/crates/pierloom/tests/syscalls.rs
+++ b/crates/pierloom/tests/syscalls.rs
@@ -43,13 +43,13 @@
     let proxy =
         Proxy::start_traced(name, &["-e", &format!("trace={calls}"), "-e", &inject], &entries, SETTINGS);
     let request = |i: usize| {
-        let mut client = proxy.open(&format!("k{i}"));
-        let answer = client.answer();
+        let mut client = proxy.send_request(&format!("k{i}"));
+        let answer = client.line_or_end();
         if answer != "UP r\r\n" {
             return Some(format!("{calls} {error} {first}+{step}, request {i}: {answer:?}"));
         }
         client.send("m\r\n");
-        let echoed = client.answer();
+        let echoed = client.line_or_end();
         (echoed != "m\r\n").then(|| format!("{calls} {error} {first}+{step}, message {i}: {echoed:?}"))
     };
     (0..REQUEST_COUNT).filter_map(request).collect()
--- a/crates/pierloom/tests/upgrade.rs
+++ b/crates/pierloom/tests/upgrade.rs
@@ -28,8 +28,8 @@
 }
 
 /// Establishes as many connections as `requests`. Each request must reach `backend`.
-fn connect_all(proxy: &Proxy, backend: &Backend, name: &str, requests: u32) -> Vec<(Peer, Peer)> {
-    (0..requests).map(|n| proxy.connect(&format!("{name}{n}"), backend)).collect()
+fn establish_all(proxy: &Proxy, backend: &Backend, name: &str, requests: u32) -> Vec<(Peer, Peer)> {
+    (0..requests).map(|n| proxy.establish(&format!("{name}{n}"), backend)).collect()
 }
 
 /// Checks that each connection relays a line in both directions.
@@ -54,16 +54,16 @@
     // Discovery publishes the drain after the start. The config of the successor is older.
     old.discovery.publish(&backends[1].entry("draining"));
     while metric_value(&call_console(old_console, "GET", "/stats").1, "lb_targets_disabled") == 0 {}
-    let mut connections = connect_all(&old, &backends[0], "a", 5);
+    let mut connections = establish_all(&old, &backends[0], "a", 5);
     let (new, console) = Proxy::start_in_folder(&folder, Some(old.address), &entries);
     wait_until_healthy(console);
     // The successor accepts the connections that wait in the queue while the predecessor ends.
     old.signal("-TERM");
-    let during = connect_all(&new, &backends[0], "b", 20);
+    let during = establish_all(&new, &backends[0], "b", 20);
     assert!(old.wait_for_exit().success());
     // Connections that the predecessor established stay usable.
     assert_relayed_both_ways(&mut connections);
-    let after = connect_all(&new, &backends[0], "c", 10);
+    let after = establish_all(&new, &backends[0], "c", 10);
     let page = call_console(console, "GET", "/stats").1;
     assert_eq!(metric_value(&page, "lb_success{type=\"feed\"}"), (during.len() + after.len()) as u64);
     assert!(backends[1].has_no_new_connection(), "the predecessor knew of the drain");
@@ -73,14 +73,14 @@
 // reaches only one of the two processes while both run.
 #[test]
 fn maintenance_outlasts_an_upgrade_and_a_call_at_either_process_reaches_both() {
-    let (folder, backends) = (Folder::new("mark"), [Backend::new("n1"), Backend::new("n2")]);
+    let (folder, backends) = (Folder::new("maintenance"), [Backend::new("n1"), Backend::new("n2")]);
     let entries = backends.each_ref().map(|backend| backend.entry("ready"));
     let (old, old_console) = Proxy::start_in_folder(&folder, None, &entries);
     wait_until_healthy(old_console);
     assert_eq!(post_maintenance(old_console, "n2", "maint"), 200);
     let (new, console) = Proxy::start_in_folder(&folder, Some(old.address), &entries);
     wait_until_healthy(console);
-    let _in_maintenance = connect_all(&new, &backends[0], "a", 20);
+    let _connections = establish_all(&new, &backends[0], "a", 20);
     let disabled = |console| metric_value(&call_console(console, "GET", "/stats").1, "lb_targets_disabled");
     // While both processes run: a call at the successor, then one at the predecessor.
     assert_eq!((disabled(old_console), disabled(console)), (1, 1));
@@ -88,20 +88,20 @@
     while disabled(old_console) != 0 {}
     assert_eq!(post_maintenance(old_console, "n2", "maint"), 200);
     while disabled(console) != 1 {}
-    let _in_maintenance = connect_all(&new, &backends[0], "b", 20);
+    let _connections = establish_all(&new, &backends[0], "b", 20);
     assert!(backends[1].has_no_new_connection());
 }
 
 // Guards against connections that are lost when a process that took them over is upgraded again.
 #[test]
 fn repeated_upgrades_keep_all_connections() {
-    let (folder, backend) = (Folder::new("row"), Backend::new("n1"));
+    let (folder, backend) = (Folder::new("repeated"), Backend::new("n1"));
     let entries = [backend.entry("ready")];
     let (mut running, console) = Proxy::start_in_folder(&folder, None, &entries);
     wait_until_healthy(console);
     let mut connections = Vec::new();
     for round in ["a", "b", "c"] {
-        connections.extend(connect_all(&running, &backend, round, 3));
+        connections.extend(establish_all(&running, &backend, round, 3));
         let (next, console) = Proxy::start_in_folder(&folder, Some(running.address), &entries);
         wait_until_healthy(console);
         running.signal("-TERM");
@@ -118,7 +118,7 @@
 // Guards against a proxy that stops accepting because its successor died. The proxy must accept again whether
 // or not the successor had already announced the takeover.
 #[test]
-fn a_successor_that_dies_during_the_handover_costs_no_request() {
+fn a_successor_that_dies_during_the_handover_loses_no_request() {
     let (folder, backend) = (Folder::new("dies"), Backend::new("n1"));
     let (old, console) = Proxy::start_in_folder(&folder, None, &[backend.entry("ready")]);
     wait_until_healthy(console);
@@ -137,46 +137,50 @@
             assert_eq!(released, "\"released\"\n");
         }
         drop((successor, messages));
-        connect_all(&old, &backend, &format!("{}", message.len()), 3);
+        establish_all(&old, &backend, &format!("{}", message.len()), 3);
     }
 }
 
 // Guards against a handover that loses or changes bytes: connections are handed over in the middle of a line,
 // after an end in one direction, while a request awaits its answer, and before a request is complete.
 #[test]
-fn connections_are_handed_over_at_every_stage() {
-    let (folder, backend) = (Folder::new("at"), Backend::new("n1"));
+fn connections_handed_over_at_any_stage_lose_no_bytes() {
+    let (folder, backend) = (Folder::new("stages"), Backend::new("n1"));
     let entries = [backend.entry("ready")];
     let (mut old, console) = Proxy::start_in_folder(&folder, None, &entries);
     wait_until_healthy(console);
-    let (mut mid_line, mut mid_line_at) = old.connect("1", &backend);
+    let (mut mid_line, mut mid_line_backend) = old.establish("1", &backend);
     mid_line.send("up");
-    mid_line_at.send("down");
-    assert_eq!((mid_line_at.read(2), mid_line.read(4)), (b"up".to_vec(), b"down".to_vec()));
-    let (mut half_closed, half_closed_at) = old.connect("2", &backend);
-    half_closed_at.shutdown_write();
+    mid_line_backend.send("down");
+    assert_eq!((mid_line_backend.read(2), mid_line.read(4)), (b"up".to_vec(), b"down".to_vec()));
+    let (mut half_closed, half_closed_backend) = old.establish("2", &backend);
+    half_closed_backend.shutdown_write();
     assert_eq!(half_closed.line(), "");
-    let mut unanswered = old.open("3");
-    let (mut unanswered_at, _) = backend.accept_open();
+    let mut unanswered = old.send_request("3");
+    let (mut unanswered_backend, _) = backend.accept_first_line();
     // Accepted, with an incomplete request.
     let mut incomplete = old.client();
     incomplete.send("OPEN 0a4 ");
     // The listener accepts in order: once this request is served, the connection before it is accepted.
-    old.connect("5", &backend);
+    old.establish("5", &backend);
     let (mut new, console) = Proxy::start_in_folder(&folder, Some(old.address), &entries);
     wait_until_healthy(console);
     old.signal("-TERM");
-    unanswered_at.send("UP late\r\nmore\r\n");
+    unanswered_backend.send("UP late\r\nmore\r\n");
     incomplete.send("4 c=feed,d=4800\r\n");
-    let (mut incomplete_at, _) = backend.accept_open();
-    incomplete_at.send("UP r\r\n");
+    let (mut incomplete_backend, _) = backend.accept_first_line();
+    incomplete_backend.send("UP r\r\n");
     assert_eq!(incomplete.line(), "UP r\r\n");
     assert!(old.wait_for_exit().success());
     mid_line.send(" rest\r\n");
-    mid_line_at.send(" rest\r\n");
-    assert_eq!((mid_line_at.line(), mid_line.line()), (" rest\r\n".to_string(), " rest\r\n".to_string()));
+    mid_line_backend.send(" rest\r\n");
+    assert_eq!(
+        (mid_line_backend.line(), mid_line.line()),
+        (" rest\r\n".to_string(), " rest\r\n".to_string())
+    );
     assert_eq!((unanswered.line(), unanswered.line()), ("UP late\r\n".to_string(), "more\r\n".to_string()));
-    let mut connections = [(mid_line, mid_line_at), (unanswered, unanswered_at), (incomplete, incomplete_at)];
+    let mut connections =
+        [(mid_line, mid_line_backend), (unanswered, unanswered_backend), (incomplete, incomplete_backend)];
     assert_relayed_both_ways(&mut connections);
     // The proxy sends MOVE only after the end of a line, also of one that began before the handover.
     let page = call_console(console, "GET", "/stats").1;
@@ -199,10 +203,10 @@
 // accepts them.
 #[test]
 fn connections_that_the_successor_does_not_accept_are_moved() {
-    let (folder, backend) = (Folder::new("untaken"), Backend::new("n1"));
+    let (folder, backend) = (Folder::new("refused"), Backend::new("n1"));
     let (mut old, console) = Proxy::start_in_folder(&folder, None, &[backend.entry("ready")]);
     wait_until_healthy(console);
-    let mut connections = connect_all(&old, &backend, "a", 3);
+    let mut connections = establish_all(&old, &backend, "a", 3);
     let mut successor = UnixStream::connect(folder.file("pierloom-p0.sock")).unwrap();
     let mut messages = BufReader::new(successor.try_clone().unwrap());
     successor.write_all(b"\"taken\"\n").unwrap();
@@ -250,7 +254,7 @@
         let (new, console) =
             Proxy::start_in_folder(&folder, None, &[backend.entry("ready"), other.entry("ready")]);
         wait_until_healthy(console);
-        connect_all(&new, &backend, "a", 10);
+        establish_all(&new, &backend, "a", 10);
         assert!(other.has_no_new_connection(), "the maintenance was stored on disk");
         drop(predecessor.join());
     }
@@ -270,18 +274,18 @@
     drop(killed);
     let (restarted, console) = Proxy::start_in_folder(&folder, Some(address), &entries);
     wait_until_healthy(console);
-    connect_all(&restarted, &backends[0], "a", 20);
+    establish_all(&restarted, &backends[0], "a", 20);
     assert!(backends[1].has_no_new_connection(), "the maintenance outlasts the process");
     // The restarted process can be upgraded as well.
     let (successor, console) = Proxy::start_in_folder(&folder, Some(address), &entries);
     wait_until_healthy(console);
-    connect_all(&successor, &backends[0], "b", 20);
+    establish_all(&successor, &backends[0], "b", 20);
     assert!(backends[1].has_no_new_connection());
     drop((restarted, successor));
     std::fs::write(folder.file("pierloom-p0.withheld"), "[\"n").unwrap();
     let (damaged, console) = Proxy::start_in_folder(&folder, None, &entries);
     wait_until_healthy(console);
-    connect_all(&damaged, &backends[0], "c", 1);
+    establish_all(&damaged, &backends[0], "c", 1);
 }
 
 // Guards against a proxy that ends without MOVE at SIGTERM because a successor has asked for its state and
@@ -291,14 +295,14 @@
     let (folder, backend) = (Folder::new("stop"), Backend::new("n1"));
     let (mut old, console) = Proxy::start_in_folder(&folder, None, &[backend.entry("ready")]);
     wait_until_healthy(console);
-    let mut connections = connect_all(&old, &backend, "a", 2);
+    let mut connections = establish_all(&old, &backend, "a", 2);
     let successor = UnixStream::connect(folder.file("pierloom-p0.sock")).unwrap();
     let mut state = String::new();
     BufReader::new(successor.try_clone().unwrap()).read_line(&mut state).unwrap();
     old.signal("-TERM");
     // A request that arrives now is still answered.
-    let mut late = old.open("b");
-    let (mut at_backend, _) = backend.accept_open();
+    let mut late = old.send_request("b");
+    let (mut at_backend, _) = backend.accept_first_line();
     at_backend.send("UP r\r\n");
     assert_eq!((late.line(), late.line()), ("UP r\r\n".to_string(), "MOVE\r\n".to_string()));
     assert_eq!(connections[0].0.line(), "MOVE\r\n");
@@ -328,10 +332,10 @@
 // answer.
 #[test]
 fn a_connection_survives_a_predecessor_killed_during_its_handover() {
-    let (first_folder, backend) = (Folder::new("says"), Backend::new("n1"));
+    let (first_folder, backend) = (Folder::new("predecessor"), Backend::new("n1"));
     let (old, console) = Proxy::start_in_folder(&first_folder, None, &[backend.entry("ready")]);
     wait_until_healthy(console);
-    let _connections = connect_all(&old, &backend, "a", 1);
+    let _connections = establish_all(&old, &backend, "a", 1);
     let mut successor = UnixStream::connect(first_folder.file("pierloom-p0.sock")).unwrap();
     let mut messages = BufReader::new(successor.try_clone().unwrap());
     successor.write_all(b"\"taken\"\n").unwrap();
@@ -372,23 +376,26 @@
 // fail for a moment, and then the process is killed.
 #[test]
 fn confirmed_maintenance_survives_failed_writes_and_a_kill() {
-    let (folder, backend) = (Folder::new("marks"), Backend::new("n1"));
+    let (folder, backend) = (Folder::new("maintenance-disk"), Backend::new("n1"));
     let entries = [backend.entry("ready")];
     // The first rename is that of the handover socket, so failures start with the second.
-    let failing = ["-e", "trace=rename,renameat,renameat2,fsync,fdatasync"];
+    let traced_calls = ["-e", "trace=rename,renameat,renameat2,fsync,fdatasync"];
     let renames = ["-e", "inject=rename,renameat,renameat2:error=ENOSPC:when=2..4"];
     let syncs = ["-e", "inject=fsync,fdatasync:error=EIO:when=1..2"];
-    let tracing = [failing, renames, syncs].concat();
+    let tracing = [traced_calls, renames, syncs].concat();
     let (proxy, console) = Proxy::start_in_folder_traced(&folder, &tracing, &entries);
     wait_until_healthy(console);
     poll_until(|| folder.file("pierloom-p0.sock").exists().then_some(())).expect("a handover socket");
-    let since = std::time::Instant::now();
+    let started_at = std::time::Instant::now();
     assert_eq!(post_maintenance(console, "n1", "maint"), 200);
-    assert!(since.elapsed() < std::time::Duration::from_secs(1), "the console must answer within a second");
+    assert!(
+        started_at.elapsed() < std::time::Duration::from_secs(1),
+        "the console must answer within a second"
+    );
     drop(proxy);
     let (after, console) = Proxy::start_in_folder(&folder, None, &entries);
     wait_until_healthy(console);
-    assert!(after.open("a").line().starts_with("BUSY"));
+    assert!(after.send_request("a").line().starts_with("BUSY"));
     assert!(backend.has_no_new_connection(), "a backend in maintenance gets no new request");
     assert_eq!(post_maintenance(console, "n1", "ready"), 200);
 }
