--- a/crates/pierloom/tests/harness/mod.rs
+++ b/crates/pierloom/tests/harness/mod.rs
@@ -32,19 +32,23 @@
 }
 
 impl Peer {
+    /// Wraps a connection. A read fails after `EVENT_TIMEOUT`.
     pub fn new(stream: TcpStream) -> Self {
         stream.set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
         Peer { reader: BufReader::new(stream) }
     }
 
+    /// Opens a connection to `address`.
     pub fn connect(address: SocketAddr) -> Self {
         Peer::new(TcpStream::connect(address).unwrap())
     }
 
+    /// The underlying stream.
     pub fn stream(&self) -> &TcpStream {
         self.reader.get_ref()
     }
 
+    /// Sends `text`, unchanged.
     pub fn send(&mut self, text: &str) {
         self.reader.get_mut().write_all(text.as_bytes()).unwrap();
     }
@@ -75,6 +79,7 @@
         read.ok().map(|_| line)
     }
 
+    /// Reads exactly this number of bytes.
     pub fn read(&mut self, bytes: usize) -> Vec<u8> {
         let mut all = vec![0; bytes];
         self.reader.read_exact(&mut all).unwrap();
@@ -93,6 +98,7 @@
         (String::from_utf8(rest).unwrap(), reset)
     }
 
+    /// Shuts down the write side of the connection.
     pub fn shutdown_write(&self) {
         self.stream().shutdown(std::net::Shutdown::Write).unwrap();
     }
@@ -105,12 +111,14 @@
 
 /// A stand-in backend: a listener whose connections wait until the test accepts them.
 pub struct Backend {
+    /// Name of the backend in endpoint entries.
     pub name: &'static str,
     address: SocketAddr,
     accepted: Receiver<TcpStream>,
 }
 
 impl Backend {
+    /// Starts a backend that listens at a free address.
     pub fn new(name: &'static str) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -119,6 +127,7 @@
         Backend { name, address, accepted }
     }
 
+    /// Accepts the next connection.
     pub fn accept(&self) -> Peer {
         Peer::new(self.accepted.recv_timeout(EVENT_TIMEOUT).expect("a connection"))
     }
@@ -142,6 +151,7 @@
         self.accepted.try_recv().is_err()
     }
 
+    /// The endpoint entry of this backend, with this status.
     pub fn entry(&self, status: &str) -> String {
         entry(self.name, self.address, status)
     }
@@ -155,6 +165,7 @@
 /// A stand-in backend whose accept queue can be filled. The next connection is then established only after
 /// the test empties the queue, when the kernel retransmits the SYN, within about a second.
 pub struct FullQueueBackend {
+    /// Name of the backend in endpoint entries.
     pub name: &'static str,
     listener: socket2::Socket,
     address: SocketAddr,
@@ -162,6 +173,7 @@
 }
 
 impl FullQueueBackend {
+    /// Starts a backend that listens at a free address, with the shortest accept queue.
     pub fn new(name: &'static str) -> Self {
         let listener = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         listener.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
@@ -194,6 +206,7 @@
         }
     }
 
+    /// The endpoint entry of this backend, with this status.
     pub fn entry(&self, status: &str) -> String {
         entry(self.name, self.address, status)
     }
@@ -206,11 +219,13 @@
     )
 }
 
-/// A call that discovery received, and the number of its connection; `from` is 0 for a snapshot. Calls that
-/// only open a watch are left out.
+/// A call that discovery received. Calls that only open a watch are left out.
 pub struct DiscoveryCall {
+    /// Number of the call's connection, in the order of acceptance.
     pub connection: usize,
+    /// Index of the list from which the call watches; 0 for a snapshot.
     pub from_index: u64,
+    /// When the call arrived, or left the queue after the queue delay.
     pub at: Instant,
 }
 
@@ -227,18 +242,22 @@
     unanswered_below: usize,
     /// Calls on connections below this number do not fail.
     not_failed_below: usize,
-    /// How long a call that opens a watch waits behind calls of other proxies, even if its caller has gone.
+    /// How long the first call of each connection waits, as if behind calls of other proxies, even if the
+    /// caller has left.
     queue_delay: Duration,
 }
 
 /// A stand-in for the discovery service.
 pub struct Discovery {
+    /// Address of the service.
     pub address: SocketAddr,
     state: Arc<(Mutex<DiscoveryState>, Condvar)>,
+    /// Calls received so far that the test has not taken.
     pub calls: Receiver<DiscoveryCall>,
 }
 
 impl Discovery {
+    /// Starts a service at a free address. Its endpoint list has index 1 and no updates.
     pub fn new() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -328,7 +347,7 @@
         poll_until(|| (self.state.0.lock().unwrap().accepted > 0).then_some(())).expect("a connection");
     }
 
-    /// Delays each call that opens a watch, as if calls of other proxies were queued before it.
+    /// Delays the first call of each connection, as if calls of other proxies were queued before it.
     pub fn set_queue_delay(&self, queue_delay: Duration) {
         self.state.0.lock().unwrap().queue_delay = queue_delay;
     }
@@ -400,7 +419,9 @@
 /// A running proxy process with its config file and its stand-in discovery service.
 pub struct Proxy {
     child: Child,
+    /// Address at which the proxy accepts clients.
     pub address: SocketAddr,
+    /// Discovery service named in the config.
     pub discovery: Discovery,
     log: Receiver<String>,
     config: String,
@@ -435,6 +456,7 @@
 pub struct Folder(pub std::path::PathBuf);
 
 impl Folder {
+    /// Creates the folder. It is removed when the value is dropped.
     pub fn new(name: &str) -> Self {
         // The path is short because the length of a Unix socket path is limited.
         let path = std::env::temp_dir().join(format!("pierloom-{}-{name}", std::process::id()));
@@ -442,6 +464,7 @@
         Folder(path)
     }
 
+    /// Path of a file in the folder.
     pub fn file(&self, name: &str) -> std::path::PathBuf {
         self.0.join(name)
     }
@@ -483,7 +506,8 @@
         Proxy::start_with_settings(name, 1024, &entries, SETTINGS)
     }
 
-    /// Starts a proxy that the system limits to `max_descriptors`, while its config names `configured_descriptors`.
+    /// Starts a proxy that the system limits to `max_descriptors`, while its config names
+    /// `configured_descriptors`.
     pub fn start_limited(
         name: &str,
         max_descriptors: u32,
@@ -595,6 +619,7 @@
         Proxy { child, address, discovery, log, config, config_path }
     }
 
+    /// Opens a client connection to the proxy.
     pub fn client(&self) -> Peer {
         Peer::connect(self.address)
     }
@@ -625,6 +650,7 @@
         (client, at_backend)
     }
 
+    /// Sends a signal, named as for `kill`, to the proxy.
     pub fn signal(&self, name: &str) {
         let status = Command::new("kill").args([name, &self.child.id().to_string()]).status().unwrap();
         assert!(status.success());
@@ -645,6 +671,7 @@
         std::fs::read_to_string("/proc/net/tcp").unwrap().contains(&remote)
     }
 
+    /// Resumes a suspended process.
     pub fn resume(&self) {
         self.signal("-CONT");
     }
@@ -703,6 +730,7 @@
         }
     }
 
+    /// Waits for the process to exit.
     pub fn wait_for_exit(&mut self) -> ExitStatus {
         // The log ends when the process exits.
         loop {
