--- a/crates/pierloom/tests/bad_input.rs
+++ b/crates/pierloom/tests/bad_input.rs
@@ -139,8 +139,10 @@
     assert_eq!(client.line(), "BUSY\r\n");
 }
 
-// Specified: a client that sends much data and leaves, or sends half a line and stays idle, occupies a slot
-// of the connections without a request for 1.5 seconds at most, and uses no memory.
+// Specified: a client that sends much data and leaves, or that sends half a line and stays idle, occupies one
+// of the slots for connections without a request for 1.5 seconds at most, and uses no memory. The test has
+// clients send much data and reset their connections. Then another client must still be served, and the peak
+// memory of the proxy must be under 32 MiB.
 #[test]
 fn clients_that_flood_and_reset_use_little_memory_and_block_no_others() {
     let backend = Backend::new("n");
--- a/crates/pierloom/tests/leaving.rs
+++ b/crates/pierloom/tests/leaving.rs
@@ -143,8 +143,8 @@
         let started_at = Instant::now();
         proxy.discovery.send_raw_answer(http_response(&body, body.len()));
         assert_eq!(proxy.discovery.calls.recv_timeout(EVENT_TIMEOUT).unwrap().from_index, index);
-        // The drain grace is one second by default. The program is an unoptimised build on a machine with
-        // other work.
+        // The list must be applied within the drain window, which is one second by default. The time
+        // may be longer in an unoptimised build on a busy machine.
         assert!(started_at.elapsed() < Duration::from_secs(1), "{:?}", started_at.elapsed());
         for i in 0..50 {
             let mut client = proxy.send_request(&format!("{index}{i}"));
--- a/crates/pierloom/tests/proxy.rs
+++ b/crates/pierloom/tests/proxy.rs
@@ -113,8 +113,8 @@
     proxy.establish("k", &backend);
 }
 
-// Guards a request against another client that sends a request with the same id. The second request is not
-// served in place of the first, and does not reach the backend, which would reject it.
+// Guards against a second request, from another client, with an id in use that is served in place of the
+// first, or that reaches the backend, which would reject it.
 #[test]
 fn a_request_with_an_id_in_use_gets_err_and_the_first_one_continues() {
     let backend = Backend::new("n");
@@ -296,7 +296,8 @@
 #[test]
 fn a_client_whose_backend_stops_answering_is_moved() {
     let backend = Backend::new("n");
-    // Without a message target no measurement reports delays; unanswered messages are reported all the same.
+    // Without a message target the proxy reports no message delays to the decision module, but it still
+    // reports messages without an answer.
     let settings = SETTINGS.replace("[0.06]", "[null]");
     let proxy = Proxy::start_with_settings("silent", 1024, &[backend.entry("ready")], &settings);
     let (mut client, _at_backend) = proxy.establish("k", &backend);
--- a/crates/pierloom/tests/soak.rs
+++ b/crates/pierloom/tests/soak.rs
@@ -15,24 +15,27 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// Number of proxies in each run.
 const PROXY_COUNT: usize = 3;
+/// Number of backends in each run.
 const BACKEND_COUNT: usize = 4;
+/// Number of clients in each run.
 const CLIENT_COUNT: usize = 12;
-/// How long a run lasts. This also holds for runs whose watches go silent, although the changes that they
-/// miss must be obeyed only six seconds later.
+/// Duration of a run. A drain that a silent watch misses must be obeyed six seconds after discovery has it,
+/// so a run with silent watches ends before that and does not check the drain.
 const RUN_DURATION: Duration = Duration::from_millis(4_500);
 /// The deadline of the request class in these runs.
 const DEADLINE_MS: u64 = 900;
 /// For this long after a drain is published, requests may still reach the backend.
 const DRAIN_WINDOW: Duration = Duration::from_millis(1_000);
-/// On real sockets every time limit is longer by this time.
+/// Tolerance added to a time limit that is checked on real sockets.
 const TIME_LIMIT_TOLERANCE: Duration = Duration::from_millis(50);
 /// The earliest time after SIGTERM at which the process would be killed.
 const MIN_KILL_DELAY: Duration = Duration::from_millis(DEADLINE_MS + 700);
 /// How long new clients still come to a proxy after its SIGTERM.
 const NEW_CLIENTS_AFTER_SIGTERM: Duration = Duration::from_millis(300);
 
-/// The seeds of a run in CI. `PIERLOOM_SOAK_SEEDS` replaces them, as `FIRST..END`.
+/// Seeds that CI runs. `PIERLOOM_SOAK_SEEDS` replaces them, as `FIRST..END`.
 const SEEDS: std::ops::Range<u64> = 1..7;
 
 /// The behaviour of a stand-in backend.
--- a/crates/pierloom/tests/upgrade.rs
+++ b/crates/pierloom/tests/upgrade.rs
@@ -327,9 +327,9 @@
 }
 
 // Guards against a lost connection when the predecessor is killed after it sent the sockets of the connection
-// and before it received the confirmation: no other process holds the connection any more. The messages are
-// those of a real process. The test plays the killed process, so that it is gone before the successor can
-// answer.
+// and before it received the confirmation: only the successor holds the connection then. The test takes the
+// predecessor's role. It sends the messages of a real process and closes its end at once, so that the
+// predecessor is gone before the successor can confirm.
 #[test]
 fn a_connection_survives_a_predecessor_killed_during_its_handover() {
     let (first_folder, backend) = (Folder::new("predecessor"), Backend::new("n1"));
