--- a/crates/lab/src/defects.rs
+++ b/crates/lab/src/defects.rs
@@ -1,5 +1,5 @@
-//! Small breakages round the unchanged proxy: the decision module in a wrapper, or the front. They exist for
-//! experiments and tests only; the proxy's own program links nothing of this.
+//! Defects planted around the unchanged proxy, by wrapping its decision module or its client protocol. They serve
+//! experiments and tests only: the proxy's own program links none of this code.
 
 use pierloom_decision::{Action, BackendId, Balancer, Event, Member, MemberState, Micros};
 use pierloom_proxy::protocol::{ClientMessage, Protocol, Reply};
@@ -9,53 +9,53 @@
 use std::rc::Rc;
 use std::str::FromStr;
 
-/// A breakage.
+/// A defect that can be planted in a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
     /// A refusal is written twice.
     AnswerTwice,
-    /// The module never hears that an execute node drains.
+    /// The decision module sees a draining backend as ready.
     DrainIgnored,
-    /// The module never hears that an execute node is gone.
+    /// The decision module sees a backend that is gone as ready.
     GoneIgnored,
-    /// The module takes every execute node for one that has run for long.
-    ColdIgnored,
-    /// Refusals get lost.
+    /// The decision module sees every backend as started long ago, so that it applies no slow start.
+    SlowStartIgnored,
+    /// The decision module's refusals are dropped.
     RefusalLost,
-    /// Each claim is ordered a second time while the first is out.
-    ClaimTwice,
-    /// The module does not hear of a message without its answer.
+    /// Each attempt is ordered a second time while the first is in progress.
+    AttemptTwice,
+    /// The decision module does not receive the event of an unanswered message.
     SilenceIgnored,
-    /// The module does not ask for the list again.
-    WatchForgotten,
-    /// Moves are sent without a word.
-    MoveMute,
-    /// Moves lack the end of their line.
+    /// The decision module's subscriptions to endpoint changes are dropped.
+    SubscribeLost,
+    /// A client is moved without a MOVE line.
+    MoveMissing,
+    /// The MOVE line lacks its line end.
     MoveCutShort,
-    /// The module panics at a load note now and then.
-    PanicAtNote,
-    /// Claims to a node that drains are ordered elsewhere a second late.
+    /// The decision module panics at every 50th measurement.
+    PanicAtMeasurement,
+    /// Refusals are written 5 s late.
     AnswerLate,
-    /// An opening loses its group on the way to the execute node.
-    OpeningChanged,
-    /// Bad openings are taken for silence.
-    BadIgnored,
-    /// Of sockets or timers.
+    /// A request reaches the backend without its group.
+    RequestChanged,
+    /// A malformed request is answered with nothing instead of an error.
+    MalformedIgnored,
+    /// A defect of the proxy's sockets or timers.
     Net(InjectedDefect),
 }
 
-/// All of them, with their names.
+/// All defects, each with its name on the command line.
 pub const DEFECTS: [(&str, Defect); 20] = [
     ("answer-twice", Defect::AnswerTwice),
     ("drain-ignored", Defect::DrainIgnored),
     ("gone-ignored", Defect::GoneIgnored),
-    ("cold-ignored", Defect::ColdIgnored),
+    ("cold-ignored", Defect::SlowStartIgnored),
     ("silence-ignored", Defect::SilenceIgnored),
-    ("watch-forgotten", Defect::WatchForgotten),
-    ("move-mute", Defect::MoveMute),
+    ("watch-forgotten", Defect::SubscribeLost),
+    ("move-mute", Defect::MoveMissing),
     ("move-cut-short", Defect::MoveCutShort),
-    ("panic-at-note", Defect::PanicAtNote),
-    ("opening-changed", Defect::OpeningChanged),
+    ("panic-at-note", Defect::PanicAtMeasurement),
+    ("opening-changed", Defect::RequestChanged),
     ("reset-swallowed", Defect::Net(InjectedDefect::ResetSwallowed)),
     ("end-swallowed", Defect::Net(InjectedDefect::EndSwallowed)),
     ("wake-lost", Defect::Net(InjectedDefect::WakeLost)),
@@ -64,13 +64,14 @@
     ("byte-doubled", Defect::Net(InjectedDefect::ByteDoubled)),
     ("refusal-lost", Defect::RefusalLost),
     ("answer-late", Defect::AnswerLate),
-    ("claim-twice", Defect::ClaimTwice),
-    ("bad-ignored", Defect::BadIgnored),
+    ("claim-twice", Defect::AttemptTwice),
+    ("bad-ignored", Defect::MalformedIgnored),
 ];
 
-/// Those that break a rule. The other four the proxy makes good by itself: its own answer at a job's deadline,
-/// one claim at a time whatever is ordered, and the time that a submitter has to open its job.
-pub const FOUND: [&str; 16] = [
+/// Names of the defects that break a rule. The proxy compensates for the other four: it answers by itself at a
+/// request's deadline, it runs one attempt of a request at a time whatever is ordered, and it limits the time that
+/// a client has to send its request.
+pub const DETECTED: [&str; 16] = [
     "answer-twice",
     "drain-ignored",
     "gone-ignored",
@@ -96,13 +97,13 @@
         let found = DEFECTS.iter().find(|(name, _)| *name == text).map(|(_, defect)| *defect);
         found.ok_or_else(|| {
             let names: Vec<&str> = DEFECTS.iter().map(|(name, _)| *name).collect();
-            format!("there is no defect {text:?}; there are {}", names.join(", "))
+            format!("unknown defect {text:?}; known defects: {}", names.join(", "))
         })
     }
 }
 
 impl Defect {
-    /// What of it is planted in the proxies' sockets and timers.
+    /// The defect for the proxies' sockets and timers, if this is one of those.
     pub fn injected_defect(self) -> Option<InjectedDefect> {
         match self {
             Defect::Net(injected_defect) => Some(injected_defect),
@@ -110,57 +111,71 @@
         }
     }
 
-    /// Builds proxies that have it.
-    pub fn build(self) -> ComponentFactory {
+    /// A factory of proxy components that have this defect.
+    pub fn component_factory(self) -> ComponentFactory {
         Rc::new(move |config| {
-            let parts = Components::from_config(config)?;
-            let module = Balancer::new(config.settings.clone(), config.seed).map_err(|e| e.to_string())?;
-            let module = Box::new(Module { defect: self, inner: module, late: Vec::new(), notes: 0 });
-            let front = Rc::new(Bent { defect: self, inner: parts.protocol });
-            Ok(Components { module, protocol: front })
+            let components = Components::from_config(config)?;
+            let balancer =
+                Balancer::new(config.settings.clone(), config.seed).map_err(|error| error.to_string())?;
+            let module = Box::new(DefectiveModule {
+                defect: self,
+                inner: balancer,
+                delayed_refusals: Vec::new(),
+                measurements: 0,
+            });
+            let defective_protocol = Rc::new(DefectiveProtocol { defect: self, inner: components.protocol });
+            Ok(Components { module, protocol: defective_protocol })
         })
     }
 }
 
-struct Module {
+/// A decision module with a defect.
+struct DefectiveModule {
     defect: Defect,
     inner: Balancer,
-    late: Vec<(u64, Action)>,
-    notes: u64,
+    /// Refusals to be written later, each with the token of its timer.
+    delayed_refusals: Vec<(u64, Action)>,
+    /// Measurements received so far.
+    measurements: u64,
 }
 
-/// Tokens of timers that the module does not set.
-const OWN_TOKENS: u64 = 1 << 60;
+/// Lowest timer token of the wrapper; the wrapped module sets timers with smaller tokens only.
+const FIRST_OWN_TOKEN: u64 = 1 << 60;
+/// Delay of a refusal under [`Defect::AnswerLate`].
+const REFUSAL_DELAY_US: Micros = 5_000_000;
+/// Measurements from one panic to the next under [`Defect::PanicAtMeasurement`].
+const MEASUREMENTS_PER_PANIC: u64 = 50;
 
-impl Module {
-    /// What the list says, bent.
-    fn member(&self, member: &Member) -> Member {
+impl DefectiveModule {
+    /// An endpoint list member as the wrapped module receives it.
+    fn alter_member(&self, member: &Member) -> Member {
         let mut member = member.clone();
         match self.defect {
             Defect::DrainIgnored if member.state == MemberState::Draining => {
                 member.state = MemberState::Ready
             }
             Defect::GoneIgnored if member.state == MemberState::Gone => member.state = MemberState::Ready,
-            Defect::ColdIgnored => member.started = 0,
+            Defect::SlowStartIgnored => member.started = 0,
             _ => {}
         }
         member
     }
 }
 
-impl DecisionModule for Module {
+impl DecisionModule for DefectiveModule {
     fn balancer(&self) -> &Balancer {
         &self.inner
     }
 
     fn handle_event(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         let event = match event {
-            Event::Members { kind, members } => {
-                Event::Members { kind, members: members.iter().map(|member| self.member(member)).collect() }
-            }
-            Event::Timer(token) if token >= OWN_TOKENS => {
-                let due = self.late.iter().position(|(of, _)| *of == token);
-                out.extend(due.map(|at| self.late.swap_remove(at).1));
+            Event::Members { kind, members } => Event::Members {
+                kind,
+                members: members.iter().map(|member| self.alter_member(member)).collect(),
+            },
+            Event::Timer(token) if token >= FIRST_OWN_TOKEN => {
+                let due = self.delayed_refusals.iter().position(|(due_token, _)| *due_token == token);
+                out.extend(due.map(|index| self.delayed_refusals.swap_remove(index).1));
                 return;
             }
             Event::Measured(_, pierloom_decision::Measurement::Unanswered(_))
@@ -168,25 +183,25 @@
             {
                 return;
             }
-            Event::Measured(..) if self.defect == Defect::PanicAtNote => {
-                self.notes += 1;
-                assert!(!self.notes.is_multiple_of(50), "planted");
+            Event::Measured(..) if self.defect == Defect::PanicAtMeasurement => {
+                self.measurements += 1;
+                assert!(!self.measurements.is_multiple_of(MEASUREMENTS_PER_PANIC), "planted");
                 event
             }
             event => event,
         };
-        let begin = out.len();
+        let new_actions = out.len();
         self.inner.handle(now, event, out);
         match self.defect {
             Defect::RefusalLost => out.retain(|action| !matches!(action, Action::Refuse { .. })),
-            Defect::WatchForgotten => out.retain(|action| !matches!(action, Action::Subscribe)),
-            Defect::ClaimTwice => {
-                let again: Vec<Action> = out[begin..]
+            Defect::SubscribeLost => out.retain(|action| !matches!(action, Action::Subscribe)),
+            Defect::AttemptTwice => {
+                let duplicates: Vec<Action> = out[new_actions..]
                     .iter()
                     .filter(|action| matches!(action, Action::Send { .. }))
                     .cloned()
                     .collect();
-                out.extend(again);
+                out.extend(duplicates);
             }
             Defect::AnswerLate => {
                 let (refusals, rest) =
@@ -194,9 +209,9 @@
                 *out = rest;
                 let refusals: Vec<Action> = refusals;
                 for refusal in refusals {
-                    let token = OWN_TOKENS + self.late.len() as u64 + now;
-                    self.late.push((token, refusal));
-                    out.push(Action::Timer(5_000_000, token));
+                    let token = FIRST_OWN_TOKEN + self.delayed_refusals.len() as u64 + now;
+                    self.delayed_refusals.push((token, refusal));
+                    out.push(Action::Timer(REFUSAL_DELAY_US, token));
                 }
             }
             _ => {}
@@ -204,14 +219,16 @@
     }
 }
 
-struct Bent {
+/// A client protocol with a defect.
+struct DefectiveProtocol {
     defect: Defect,
     inner: Rc<dyn Protocol>,
 }
 
-struct BentOpening(Box<dyn pierloom_proxy::protocol::ClientRequest>);
+/// A request that is encoded without its group.
+struct DefectiveRequest(Box<dyn pierloom_proxy::protocol::ClientRequest>);
 
-impl pierloom_proxy::protocol::ClientRequest for BentOpening {
+impl pierloom_proxy::protocol::ClientRequest for DefectiveRequest {
     fn request(&self) -> pierloom_decision::Request {
         self.0.request()
     }
@@ -230,19 +247,21 @@
 
     fn encode_for_backend(&self, wait: Micros) -> Vec<u8> {
         let line = String::from_utf8_lossy(&self.0.encode_for_backend(wait)).into_owned();
-        let kept: Vec<&str> = line.trim_end().split(',').filter(|field| !field.starts_with("g=")).collect();
-        format!("{}\r\n", kept.join(",")).into_bytes()
+        let fields: Vec<&str> = line.trim_end().split(',').filter(|field| !field.starts_with("g=")).collect();
+        format!("{}\r\n", fields.join(",")).into_bytes()
     }
 }
 
-impl Protocol for Bent {
+impl Protocol for DefectiveProtocol {
     fn parse_client_line(&self, line: &[u8]) -> ClientMessage {
         match self.inner.parse_client_line(line) {
-            ClientMessage::Request(opening) if self.defect == Defect::OpeningChanged => {
-                ClientMessage::Request(Box::new(BentOpening(opening)))
+            ClientMessage::Request(request) if self.defect == Defect::RequestChanged => {
+                ClientMessage::Request(Box::new(DefectiveRequest(request)))
+            }
+            ClientMessage::Malformed if self.defect == Defect::MalformedIgnored => {
+                ClientMessage::Immediate(b"")
             }
-            ClientMessage::Malformed if self.defect == Defect::BadIgnored => ClientMessage::Immediate(b""),
-            first => first,
+            message => message,
         }
     }
 
@@ -259,8 +278,8 @@
     }
 
     fn refusal(&self, wait: Option<Micros>) -> Vec<u8> {
-        let words = self.inner.refusal(wait);
-        if self.defect == Defect::AnswerTwice { words.repeat(2) } else { words }
+        let line = self.inner.refusal(wait);
+        if self.defect == Defect::AnswerTwice { line.repeat(2) } else { line }
     }
 
     fn failure(&self) -> Vec<u8> {
@@ -273,7 +292,7 @@
 
     fn farewell(&self) -> &'static [u8] {
         match self.defect {
-            Defect::MoveMute => b"",
+            Defect::MoveMissing => b"",
             Defect::MoveCutShort => b"MOVE",
             _ => self.inner.farewell(),
         }
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,4 +1,4 @@
 #![forbid(unsafe_code)]
-//! What the lab's commands share: planted defects, which show that the observer finds what it is there for.
+//! Shared by the lab's commands and tests: planted defects, which show that the observer detects broken rules.
 
 pub mod defects;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -113,7 +113,7 @@
 
 fn replay(asked: &Replay) -> Result<bool, String> {
     let script = script(&asked.what)?;
-    let build = asked.defect.map(Defect::build);
+    let build = asked.defect.map(Defect::component_factory);
     let trace = if asked.trace { Trace::Print } else { Trace::None };
     let report = play(
         &script,
--- a/crates/lab/src/seeds.rs
+++ b/crates/lab/src/seeds.rs
@@ -61,7 +61,7 @@
     let report = play(
         &script,
         &Options {
-            build: defect.map(Defect::build),
+            build: defect.map(Defect::component_factory),
             injected_defect: defect.and_then(Defect::injected_defect),
             ..Options::default()
         },
--- a/crates/lab/src/shrink.rs
+++ b/crates/lab/src/shrink.rs
@@ -51,7 +51,7 @@
 /// Shrinks it; whether no rule broke in the first place.
 pub fn run(asked: &Shrink) -> Result<bool, String> {
     let options = Options {
-        build: asked.defect.map(Defect::build),
+        build: asked.defect.map(Defect::component_factory),
         injected_defect: asked.defect.and_then(Defect::injected_defect),
         ..Options::default()
     };
--- a/crates/lab/tests/seeds.rs
+++ b/crates/lab/tests/seeds.rs
@@ -2,7 +2,7 @@
 //! played, and planted defects.
 #![allow(clippy::disallowed_types, clippy::disallowed_methods)] // the lab's program and its files
 
-use pierloom_lab::defects::{DEFECTS, FOUND};
+use pierloom_lab::defects::{DEFECTS, DETECTED};
 use pierloom_world::generate::generate_script;
 use pierloom_world::run::{Options, play};
 use pierloom_world::script::Script;
@@ -66,10 +66,10 @@
 
 #[test]
 fn planted_defects_are_found() {
-    for (name, defect) in DEFECTS.iter().filter(|(name, _)| FOUND.contains(name)) {
+    for (name, defect) in DEFECTS.iter().filter(|(name, _)| DETECTED.contains(name)) {
         let found = (0..60).find(|&seed| {
             let options = Options {
-                build: Some(defect.build()),
+                build: Some(defect.component_factory()),
                 injected_defect: defect.injected_defect(),
                 ..Options::default()
             };
