--- a/crates/lab/src/ledger.rs
+++ b/crates/lab/src/ledger.rs
@@ -1,15 +1,15 @@
-//! Sums the ledgers of a fleet: the log lines of all proxies in a folder, second by second.
+//! The `ledger` command: sums the event counts that all proxies wrote to their logs, second by second.
 
 use argh::FromArgs;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
 
-/// Sum the ledger lines of all logs in a folder, second by second.
+/// Sum the ledger lines (event counts) of all logs in a folder, second by second.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "ledger")]
 pub struct SumEventCounts {
-    /// the folder; every file in it whose name ends in .log is read
+    /// the folder; all files in it with a name that ends in .log are read
     #[argh(positional)]
     folder: PathBuf,
     /// print the sums as JSON
@@ -17,36 +17,41 @@
     json: bool,
 }
 
+/// Counts by name.
 type Counts = BTreeMap<String, u64>;
 
-/// The sums of each second, and how many files gave them.
+/// Event counts summed over the logs of several proxies.
 #[derive(Default)]
 pub struct Sums {
+    /// The sums of each second, by Unix time.
     pub seconds: BTreeMap<u64, Counts>,
+    /// Log files read.
     pub files: usize,
+    /// Ledger lines read.
     pub lines: usize,
 }
 
-/// These say how things stand, so that they add up over proxies and not over time.
+/// Counts that are gauges: they add up over proxies, but not over time.
 const GAUGES: [&str; 2] = ["standing", "list_age_ms"];
 
-/// The words of a ledger line, whichever format the log has; nothing for other lines.
-fn words(line: &str) -> Option<Result<String, String>> {
-    if let Some(at) = line.find('{').filter(|_| line.contains("\"target\":\"ledger\"")) {
-        let value: Result<Value, _> = serde_json::from_str(&line[at..]);
-        return Some(value.map_err(|e| e.to_string()).and_then(|value| {
+/// The counts of a ledger line as text, from a log in text or JSON format; `None` for other lines.
+fn ledger_message(line: &str) -> Option<Result<String, String>> {
+    if let Some(start) = line.find('{').filter(|_| line.contains("\"target\":\"ledger\"")) {
+        let value: Result<Value, _> = serde_json::from_str(&line[start..]);
+        return Some(value.map_err(|error| error.to_string()).and_then(|value| {
             let message = value["fields"]["message"].as_str();
-            message.map(str::to_string).ok_or_else(|| "it has no message".to_string())
+            message.map(str::to_string).ok_or_else(|| "the log record has no message".to_string())
         }));
     }
-    line.split_once(" ledger: ").map(|(_, words)| Ok(words.to_string()))
+    line.split_once(" ledger: ").map(|(_, message)| Ok(message.to_string()))
 }
 
-fn counts(words: &str) -> Result<(u64, Counts), String> {
+/// Parses a ledger message into its second and its counts.
+fn parse_counts(message: &str) -> Result<(u64, Counts), String> {
     let mut counts = Counts::new();
-    for word in words.split_whitespace() {
-        let (name, count) = word.split_once('=').ok_or_else(|| format!("{word:?} is no count"))?;
-        let count = count.parse().map_err(|_| format!("{word:?} is no count"))?;
+    for pair in message.split_whitespace() {
+        let (name, count) = pair.split_once('=').ok_or_else(|| format!("{pair:?} is no count"))?;
+        let count = count.parse().map_err(|_| format!("{pair:?} is no count"))?;
         if counts.insert(name.to_string(), count).is_some() {
             return Err(format!("{name} stands twice"));
         }
@@ -56,13 +61,14 @@
 }
 
 impl Sums {
-    /// Adds the text of one log; a line that cannot be read is named.
+    /// Adds the text of one log; the error for a malformed line names the file and the line.
     pub fn add(&mut self, name: &str, text: &str) -> Result<(), String> {
         self.files += 1;
-        for (n, line) in text.lines().enumerate() {
-            let Some(words) = words(line) else { continue };
-            let read = words.and_then(|words| counts(&words));
-            let (second, counts) = read.map_err(|why| format!("{name}, line {}: {why}", n + 1))?;
+        for (index, line) in text.lines().enumerate() {
+            let Some(message) = ledger_message(line) else { continue };
+            let parsed = message.and_then(|message| parse_counts(&message));
+            let (second, counts) =
+                parsed.map_err(|reason| format!("{name}, line {}: {reason}", index + 1))?;
             let sums = self.seconds.entry(second).or_default();
             for (name, count) in counts {
                 let sum = sums.entry(name).or_default();
@@ -73,35 +79,38 @@
         Ok(())
     }
 
-    /// The sum over all seconds; of gauges the highest.
+    /// The total of each count over all seconds; for a gauge, its highest value.
     pub fn totals(&self) -> Counts {
         let mut totals = Counts::new();
         for (name, &count) in self.seconds.values().flatten() {
             let total = totals.entry(name.clone()).or_default();
-            let gauge = GAUGES.contains(&name.as_str());
-            *total = if gauge { (*total).max(count) } else { total.saturating_add(count) };
+            let is_gauge = GAUGES.contains(&name.as_str());
+            *total = if is_gauge { (*total).max(count) } else { total.saturating_add(count) };
         }
         totals
     }
 
+    /// Prints one line for each second, counted from the first, and one for the totals.
     fn print(&self) {
-        let Some(&first) = self.seconds.keys().next() else { return };
+        let Some(&first_second) = self.seconds.keys().next() else { return };
         let names: BTreeSet<&String> = self.seconds.values().flat_map(BTreeMap::keys).collect();
-        let row = |head: &str, counts: &Counts| {
+        let print_row = |head: &str, counts: &Counts| {
             let counts = names.iter().filter_map(|name| Some(format!("{name}={}", counts.get(*name)?)));
             println!("{head:>6}  {}", counts.collect::<Vec<_>>().join(" "));
         };
-        self.seconds.iter().for_each(|(second, counts)| row(&(second - first).to_string(), counts));
-        row("all", &self.totals());
+        self.seconds
+            .iter()
+            .for_each(|(second, counts)| print_row(&(second - first_second).to_string(), counts));
+        print_row("all", &self.totals());
     }
 }
 
-/// Reads all logs of a folder.
-pub fn read(folder: &Path) -> Result<Sums, String> {
-    let fault = |e: std::io::Error| format!("{}: {e}", folder.display());
+/// Reads all logs of a folder; it is an error if they hold no ledger line.
+pub fn read_folder(folder: &Path) -> Result<Sums, String> {
+    let folder_error = |error: std::io::Error| format!("{}: {error}", folder.display());
     let mut paths = Vec::new();
-    for entry in std::fs::read_dir(folder).map_err(fault)? {
-        let path = entry.map_err(fault)?.path();
+    for entry in std::fs::read_dir(folder).map_err(folder_error)? {
+        let path = entry.map_err(folder_error)?.path();
         if path.extension().is_some_and(|extension| extension == "log") {
             paths.push(path);
         }
@@ -109,7 +118,7 @@
     paths.sort();
     let mut sums = Sums::default();
     for path in paths {
-        let text = std::fs::read(&path).map_err(|e| format!("{}: {e}", path.display()))?;
+        let text = std::fs::read(&path).map_err(|error| format!("{}: {error}", path.display()))?;
         sums.add(&path.display().to_string(), &String::from_utf8_lossy(&text))?;
     }
     if sums.lines == 0 {
@@ -118,10 +127,11 @@
     Ok(sums)
 }
 
-pub fn run(asked: &SumEventCounts) -> Result<bool, String> {
-    let sums = read(&asked.folder)?;
-    if asked.json {
-        println!("{}", serde_json::to_string(&sums.seconds).map_err(|e| e.to_string())?);
+/// Runs the `ledger` command; it checks no rule, so that it returns `true`.
+pub fn run(args: &SumEventCounts) -> Result<bool, String> {
+    let sums = read_folder(&args.folder)?;
+    if args.json {
+        println!("{}", serde_json::to_string(&sums.seconds).map_err(|error| error.to_string())?);
     } else {
         println!(
             "{} logs, {} ledger lines; seconds from the first, sums over all proxies",
@@ -137,7 +147,7 @@
     use super::Sums;
 
     #[test]
-    fn logs_in_either_format_add_up_and_other_lines_are_left_alone() {
+    fn ledger_lines_of_text_and_json_logs_are_summed_and_other_lines_ignored() {
         let mut sums = Sums::default();
         let text = "0.1 2026-12-01T00:00:00Z  INFO proxy: n0 listening on 10.0.0.1:7070\n\
                     1.1 2026-12-01T00:00:01Z  INFO ledger: at=100 claims=2 standing=3\n\
@@ -151,15 +161,15 @@
     }
 
     #[test]
-    fn a_line_that_cannot_be_read_is_named_by_file_and_number() {
-        for (line, why) in [
+    fn malformed_ledger_line_is_reported_with_file_and_line_number() {
+        for (line, reason) in [
             ("INFO ledger: at=100 claims", "\"claims\" is no count"),
             ("INFO ledger: at=100 claims=-1", "\"claims=-1\" is no count"),
             ("INFO ledger: claims=1", "no second (at) is named"),
             ("INFO ledger: at=1 claims=1 claims=2", "claims stands twice"),
         ] {
             let text = format!("0 INFO proxy: hello\n0 {line}\n");
-            assert_eq!(Sums::default().add("a.log", &text), Err(format!("a.log, line 2: {why}")));
+            assert_eq!(Sums::default().add("a.log", &text), Err(format!("a.log, line 2: {reason}")));
         }
     }
 }
