--- a/crates/lab/src/defects.rs
+++ b/crates/lab/src/defects.rs
@@ -1,4 +1,4 @@
-//! Defects planted around the unchanged proxy, by wrapping its decision module or its client protocol. They serve
+//! Defects planted around the unchanged proxy, by wrapping its decision module or its protocol. They serve
 //! experiments and tests only: the proxy's own program links none of this code.
 
 use pierloom_decision::{Action, BackendId, Balancer, Event, Member, MemberState, Micros};
@@ -68,9 +68,9 @@
     ("bad-ignored", Defect::MalformedIgnored),
 ];
 
-/// Names of the defects that break a rule. The proxy compensates for the other four: it answers by itself at a
-/// request's deadline, it runs one attempt of a request at a time whatever is ordered, and it limits the time that
-/// a client has to send its request.
+/// Names of the defects that break a rule. The proxy compensates for the other four: it answers by itself at
+/// a request's deadline, it runs one attempt of a request at a time whatever is ordered, and it limits the
+/// time that a client has to send its request.
 pub const DETECTED: [&str; 16] = [
     "answer-twice",
     "drain-ignored",
@@ -219,7 +219,7 @@
     }
 }
 
-/// A client protocol with a defect.
+/// A protocol with a defect.
 struct DefectiveProtocol {
     defect: Defect,
     inner: Rc<dyn Protocol>,
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,6 +1,6 @@
 #![forbid(unsafe_code)]
 #![allow(clippy::disallowed_types, clippy::disallowed_methods)] // a tool on the real machine, not the proxy
-//! `pierloom-lab`: seeds, replays, shrinking and digests on the proxy's simulated world.
+//! `pierloom-lab`: runs the proxy in a simulated world, from seeds or scripts, and shrinks failing scripts.
 
 mod ledger;
 mod seeds;
@@ -27,75 +27,78 @@
 enum Command {
     Seeds(seeds::Seeds),
     Replay(Replay),
-    Script(Print),
+    Script(PrintScript),
     Shrink(shrink::Shrink),
     Digest(Digest),
     Ledger(ledger::SumEventCounts),
 }
 
-/// Play one seed or one script, and say which rules broke and what led there.
+/// Run one seed or script, and print each broken rule with the events that preceded it.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "replay")]
 struct Replay {
-    /// a seed, or a script's file
-    #[argh(positional)]
-    what: String,
-    /// print everything that crosses the sockets
+    /// a seed, or the path of a script
+    #[argh(positional, arg_name = "what")]
+    seed_or_script: String,
+    /// print each network event: connections opened, bytes sent and received, ends and resets
     #[argh(switch)]
     trace: bool,
     /// print the report as JSON
     #[argh(switch)]
     json: bool,
-    /// plant a defect in the proxies; to see that it is found
+    /// plant this defect in the proxies, to check that it is detected
     #[argh(option)]
     defect: Option<Defect>,
 }
 
-/// Print the script of a seed, to be edited and replayed.
+/// Print the script that a seed generates, to be edited and replayed.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "script")]
-struct Print {
+struct PrintScript {
     /// the seed
     #[argh(positional)]
     seed: String,
 }
 
-/// Print one hash of everything that crossed the sockets in a seed's run, with its times.
+/// Print one hash of all network events of a run, with their times.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "digest")]
 struct Digest {
-    /// the seed, or a script's file
-    #[argh(positional)]
-    what: String,
+    /// a seed, or the path of a script
+    #[argh(positional, arg_name = "what")]
+    seed_or_script: String,
 }
 
-/// Exit code where a rule broke, and for input that cannot be used.
-const BROKEN: u8 = 1;
-const BAD_INPUT: u8 = 2;
+/// Exit code when a rule broke.
+const EXIT_RULE_BROKEN: u8 = 1;
+/// Exit code for invalid arguments or input.
+const EXIT_BAD_INPUT: u8 = 2;
 
-/// Reads a seed: a decimal number.
-fn seed(text: &str) -> Result<u64, String> {
-    text.parse().map_err(|_| format!("{text:?} is no seed: a number from 0 to {} is wanted", u64::MAX))
+/// Parses a seed: a decimal number.
+fn parse_seed(text: &str) -> Result<u64, String> {
+    text.parse().map_err(|_| format!("invalid seed {text:?}: expected a number from 0 to {}", u64::MAX))
 }
 
-/// The script that a seed draws, or that a file holds.
-fn script(what: &str) -> Result<Script, String> {
-    if Path::new(what).extension().is_some_and(|extension| extension == "toml") {
-        let text = std::fs::read_to_string(what).map_err(|e| format!("{what}: {e}"))?;
-        return Script::read(what, &text);
+/// Reads the script from a file if the name ends in `.toml`; otherwise generates it from a seed.
+fn load_script(seed_or_script: &str) -> Result<Script, String> {
+    if Path::new(seed_or_script).extension().is_some_and(|extension| extension == "toml") {
+        let text =
+            std::fs::read_to_string(seed_or_script).map_err(|error| format!("{seed_or_script}: {error}"))?;
+        return Script::read(seed_or_script, &text);
     }
-    seed(what).map(generate_script)
+    parse_seed(seed_or_script).map(generate_script)
 }
 
-fn tell(report: &Report) {
+/// Prints the broken rules with the events that preceded them, and one line of totals.
+fn print_report(report: &Report) {
     for violation in &report.violations {
         println!("{:?} at {:.6} s: {}", violation.rule, violation.at as f64 / 1e6, violation.what);
         violation.preceding_events.iter().for_each(|line| println!("    {line}"));
     }
     let counts = &report.counts;
     println!(
-        "{} s, {} connections, {} jobs ({} served, {} refused, {} failed), {} claims, {} moves, {} crossings; \
-         service {:.4}; digest {:016x}; {} rules broken",
+        "{} s, {} connections, {} jobs ({} served, {} refused, {} failed), {} claims, {} moves, \
+         {} crossings; service {:.4}; digest {:016x}; {} rules broken",
         report.length / 1_000_000,
         counts.connections,
         counts.requests,
@@ -111,60 +114,62 @@
     );
 }
 
-fn replay(asked: &Replay) -> Result<bool, String> {
-    let script = script(&asked.what)?;
-    let build = asked.defect.map(Defect::component_factory);
-    let trace = if asked.trace { Trace::Print } else { Trace::None };
+/// Runs the `replay` command; returns whether every rule was kept.
+fn replay(args: &Replay) -> Result<bool, String> {
+    let script = load_script(&args.seed_or_script)?;
+    let build = args.defect.map(Defect::component_factory);
+    let trace = if args.trace { Trace::Print } else { Trace::None };
     let report = play(
         &script,
-        &Options { trace, build, injected_defect: asked.defect.and_then(Defect::injected_defect) },
+        &Options { trace, build, injected_defect: args.defect.and_then(Defect::injected_defect) },
     );
-    if asked.json {
-        println!("{}", serde_json::to_string(&report).map_err(|e| e.to_string())?);
+    if args.json {
+        println!("{}", serde_json::to_string(&report).map_err(|error| error.to_string())?);
     } else {
-        tell(&report);
+        print_report(&report);
     }
     Ok(report.violations.is_empty())
 }
 
-fn write(path: &PathBuf, text: &str) -> Result<(), String> {
-    std::fs::write(path, text).map_err(|e| format!("{}: {e}", path.display()))
+/// Writes a file; the error names it.
+fn write_file(path: &PathBuf, text: &str) -> Result<(), String> {
+    std::fs::write(path, text).map_err(|error| format!("{}: {error}", path.display()))
 }
 
 fn main() -> ExitCode {
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    let words: Vec<&str> = words.iter().map(String::as_str).collect();
-    let arguments = match Arguments::from_args(&["pierloom-lab"], &words) {
+    let command_line: Vec<String> = std::env::args().skip(1).collect();
+    let command_line: Vec<&str> = command_line.iter().map(String::as_str).collect();
+    let arguments = match Arguments::from_args(&["pierloom-lab"], &command_line) {
         Ok(arguments) => arguments,
-        Err(early) if early.status.is_ok() => {
-            println!("{}", early.output);
+        Err(early_exit) if early_exit.status.is_ok() => {
+            println!("{}", early_exit.output);
             return ExitCode::SUCCESS;
         }
-        Err(early) => {
-            eprintln!("pierloom-lab: {}", early.output.lines().next().unwrap_or_default());
-            return ExitCode::from(BAD_INPUT);
+        Err(early_exit) => {
+            eprintln!("pierloom-lab: {}", early_exit.output.lines().next().unwrap_or_default());
+            return ExitCode::from(EXIT_BAD_INPUT);
         }
     };
-    let done = match arguments.command {
-        Command::Seeds(asked) => seeds::run(&asked),
-        Command::Replay(asked) => replay(&asked),
-        Command::Script(asked) => seed(&asked.seed).map(|seed| {
+    let rules_kept = match arguments.command {
+        Command::Seeds(args) => seeds::run(&args),
+        Command::Replay(args) => replay(&args),
+        Command::Script(args) => parse_seed(&args.seed).map(|seed| {
             print!("{}", generate_script(seed).print());
             true
         }),
-        Command::Shrink(asked) => shrink::run(&asked),
-        Command::Ledger(asked) => ledger::run(&asked),
-        Command::Digest(asked) => script(&asked.what).map(|script| {
+        Command::Shrink(args) => shrink::run(&args),
+        Command::Ledger(args) => ledger::run(&args),
+        Command::Digest(args) => load_script(&args.seed_or_script).map(|script| {
             println!("{:016x}", play(&script, &Options::default()).digest);
             true
         }),
     };
-    match done {
+    match rules_kept {
         Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::from(BROKEN),
-        Err(fault) => {
-            eprintln!("pierloom-lab: {fault}");
-            ExitCode::from(BAD_INPUT)
+        Ok(false) => ExitCode::from(EXIT_RULE_BROKEN),
+        Err(error) => {
+            eprintln!("pierloom-lab: {error}");
+            ExitCode::from(EXIT_BAD_INPUT)
         }
     }
 }
--- a/crates/lab/src/seeds.rs
+++ b/crates/lab/src/seeds.rs
@@ -1,4 +1,5 @@
-//! Many seeds, on several threads; each run is a world of its own, so that the number of threads changes nothing.
+//! The `seeds` command: runs many seeds on several threads. Each run has its own simulated world, so that the
+//! number of threads does not change the results.
 
 use argh::FromArgs;
 use indicatif::{ProgressBar, ProgressStyle};
@@ -14,41 +15,48 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Instant;
 
-/// Play many seeds and name those in which a rule broke.
+/// Seeds that the summary names for each broken rule.
+const MAX_SEEDS_PER_RULE: usize = 12;
+/// Failing seeds that the summary shows with their first violation.
+const MAX_FAILING_SEEDS: usize = 20;
+
+/// Run many seeds, and list those in which a rule broke.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "seeds")]
 pub struct Seeds {
     /// the first seed
     #[argh(option, default = "0")]
     from: u64,
-    /// how many
+    /// the number of seeds
     #[argh(option)]
     count: u64,
-    /// threads; as many as there are cores where this is left out
+    /// the number of threads; the default is the number of cores
     #[argh(option)]
     jobs: Option<usize>,
-    /// a file for the results as JSON
+    /// write the results to this file as JSON
     #[argh(option)]
     json: Option<PathBuf>,
-    /// plant a defect in the proxies, and stop at the first seed that finds it
+    /// plant this defect in the proxies, and stop at the first seed that detects it
     #[argh(option)]
     defect: Option<Defect>,
 }
 
-/// One seed's run.
+/// The result of one seed's run.
 #[derive(Serialize)]
-struct Played {
+struct SeedResult {
     seed: u64,
     digest: String,
     rules: Vec<Rule>,
-    first: Option<String>,
+    #[serde(rename = "first")]
+    first_violation: Option<String>,
     proxies: usize,
     #[serde(rename = "nodes")]
     backends: usize,
     #[serde(rename = "submitters")]
     clients: usize,
     faults: usize,
-    seconds: f64,
+    #[serde(rename = "seconds")]
+    virtual_seconds: f64,
     #[serde(rename = "crossings")]
     network_events: u64,
     #[serde(rename = "jobs")]
@@ -56,7 +64,8 @@
     service: f64,
 }
 
-fn play_one(seed: u64, defect: Option<Defect>) -> Played {
+/// Runs one seed.
+fn run_seed(seed: u64, defect: Option<Defect>) -> SeedResult {
     let script = generate_script(seed);
     let report = play(
         &script,
@@ -66,11 +75,11 @@
             ..Options::default()
         },
     );
-    Played {
+    SeedResult {
         seed,
         digest: format!("{:016x}", report.digest),
         rules: report.violations.iter().map(|violation| violation.rule).collect(),
-        first: report
+        first_violation: report
             .violations
             .first()
             .map(|violation| format!("{:.3} s: {}", violation.at as f64 / 1e6, violation.what)),
@@ -78,89 +87,97 @@
         backends: script.backends.len(),
         clients: script.clients.len(),
         faults: script.faults.len(),
-        seconds: report.length as f64 / 1e6,
+        virtual_seconds: report.length as f64 / 1e6,
         network_events: report.counts.network_events,
         requests: report.counts.requests,
         service: report.service(),
     }
 }
 
-/// Plays them; whether no rule broke.
-pub fn run(asked: &Seeds) -> Result<bool, String> {
+/// Runs the `seeds` command; returns whether every rule was kept.
+pub fn run(args: &Seeds) -> Result<bool, String> {
     let cores = std::thread::available_parallelism().map_or(1, usize::from);
-    let jobs = asked.jobs.unwrap_or(cores).max(1);
-    let end = asked.from.checked_add(asked.count).ok_or("--from and --count go beyond the last seed")?;
-    let bar =
-        if std::io::stderr().is_terminal() { ProgressBar::new(asked.count) } else { ProgressBar::hidden() };
+    let threads = args.jobs.unwrap_or(cores).max(1);
+    let end_seed = args.from.checked_add(args.count).ok_or("--from plus --count exceeds the highest seed")?;
+    let progress =
+        if std::io::stderr().is_terminal() { ProgressBar::new(args.count) } else { ProgressBar::hidden() };
     let style = "{bar:40} {pos}/{len} {per_sec} {eta} {msg}";
-    bar.set_style(ProgressStyle::with_template(style).map_err(|e| e.to_string())?);
-    let (next, stop) = (AtomicU64::new(asked.from), AtomicU64::new(end));
-    let played = Mutex::new(Vec::new());
-    let began = Instant::now();
+    progress.set_style(ProgressStyle::with_template(style).map_err(|error| error.to_string())?);
+    let (next_seed, stop_seed) = (AtomicU64::new(args.from), AtomicU64::new(end_seed));
+    let results = Mutex::new(Vec::new());
+    let started = Instant::now();
     std::thread::scope(|scope| {
-        for _ in 0..jobs {
+        for _ in 0..threads {
             scope.spawn(|| {
                 loop {
-                    let seed = next.fetch_add(1, Ordering::Relaxed);
-                    if seed >= stop.load(Ordering::Relaxed) {
+                    let seed = next_seed.fetch_add(1, Ordering::Relaxed);
+                    if seed >= stop_seed.load(Ordering::Relaxed) {
                         return;
                     }
-                    let one = play_one(seed, asked.defect);
-                    if !one.rules.is_empty() {
-                        bar.set_message(format!("seed {seed}: {:?}", one.rules[0]));
-                        if asked.defect.is_some() {
-                            // Seeds before it are still played: the lowest that finds it counts.
-                            stop.fetch_min(seed, Ordering::Relaxed);
+                    let result = run_seed(seed, args.defect);
+                    if !result.rules.is_empty() {
+                        progress.set_message(format!("seed {seed}: {:?}", result.rules[0]));
+                        if args.defect.is_some() {
+                            // Lower seeds still run, so that the lowest seed that detects it is reported.
+                            stop_seed.fetch_min(seed, Ordering::Relaxed);
                         }
                     }
-                    bar.inc(1);
-                    if let Ok(mut played) = played.lock() {
-                        played.push(one);
+                    progress.inc(1);
+                    if let Ok(mut results) = results.lock() {
+                        results.push(result);
                     }
                 }
             });
         }
     });
-    bar.finish_and_clear();
-    let took = began.elapsed().as_secs_f64();
-    let mut played = played.into_inner().map_err(|e| e.to_string())?;
-    played.sort_by_key(|one| one.seed);
-    tell(&played, took, jobs);
-    if let Some(path) = &asked.json {
-        let text = serde_json::to_string(&played).map_err(|e| e.to_string())?;
-        crate::write(path, &text)?;
+    progress.finish_and_clear();
+    let elapsed_seconds = started.elapsed().as_secs_f64();
+    let mut results = results.into_inner().map_err(|error| error.to_string())?;
+    results.sort_by_key(|result| result.seed);
+    print_summary(&results, elapsed_seconds, threads);
+    if let Some(path) = &args.json {
+        let text = serde_json::to_string(&results).map_err(|error| error.to_string())?;
+        crate::write_file(path, &text)?;
     }
-    Ok(played.iter().all(|one| one.rules.is_empty()))
+    Ok(results.iter().all(|result| result.rules.is_empty()))
 }
 
-fn tell(played: &[Played], took: f64, jobs: usize) {
-    let mean = |part: fn(&Played) -> f64| played.iter().map(part).sum::<f64>() / played.len().max(1) as f64;
-    let mut rules: BTreeMap<Rule, Vec<u64>> = BTreeMap::new();
-    for one in played {
-        let mut broken = one.rules.clone();
-        broken.sort();
-        broken.dedup();
-        broken.into_iter().for_each(|rule| rules.entry(rule).or_default().push(one.seed));
+/// Prints the seeds of each broken rule, the first violations, and the averages over all runs.
+fn print_summary(results: &[SeedResult], elapsed_seconds: f64, threads: usize) {
+    let mean =
+        |value: fn(&SeedResult) -> f64| results.iter().map(value).sum::<f64>() / results.len().max(1) as f64;
+    let mut seeds_by_rule: BTreeMap<Rule, Vec<u64>> = BTreeMap::new();
+    for result in results {
+        let mut broken_rules = result.rules.clone();
+        broken_rules.sort();
+        broken_rules.dedup();
+        broken_rules.into_iter().for_each(|rule| seeds_by_rule.entry(rule).or_default().push(result.seed));
     }
-    for (rule, seeds) in &rules {
-        let shown: Vec<String> = seeds.iter().take(12).map(u64::to_string).collect();
+    for (rule, seeds) in &seeds_by_rule {
+        let shown: Vec<String> = seeds.iter().take(MAX_SEEDS_PER_RULE).map(u64::to_string).collect();
         println!("{rule:?}: {} seeds: {}", seeds.len(), shown.join(" "));
     }
-    for one in played.iter().filter(|one| !one.rules.is_empty()).take(20) {
-        println!("  seed {}: {:?} {}", one.seed, one.rules[0], one.first.as_deref().unwrap_or_default());
+    for result in results.iter().filter(|result| !result.rules.is_empty()).take(MAX_FAILING_SEEDS) {
+        println!(
+            "  seed {}: {:?} {}",
+            result.seed,
+            result.rules[0],
+            result.first_violation.as_deref().unwrap_or_default()
+        );
     }
     println!(
-        "{} seeds in {took:.1} s on {jobs} threads, {:.1} a second; the average run: {:.1} virtual s, {:.1} proxies, \
-         {:.1} execute nodes, {:.1} submitters, {:.1} faults, {:.0} jobs, {:.0} crossings, service {:.3}",
-        played.len(),
-        played.len() as f64 / took,
-        mean(|one| one.seconds),
-        mean(|one| one.proxies as f64),
-        mean(|one| one.backends as f64),
-        mean(|one| one.clients as f64),
-        mean(|one| one.faults as f64),
-        mean(|one| one.requests as f64),
-        mean(|one| one.network_events as f64),
-        mean(|one| one.service),
+        "{} seeds in {elapsed_seconds:.1} s on {threads} threads, {:.1} a second; \
+         the average run: {:.1} virtual s, {:.1} proxies, {:.1} execute nodes, \
+         {:.1} submitters, {:.1} faults, {:.0} jobs, {:.0} crossings, service {:.3}",
+        results.len(),
+        results.len() as f64 / elapsed_seconds,
+        mean(|result| result.virtual_seconds),
+        mean(|result| result.proxies as f64),
+        mean(|result| result.backends as f64),
+        mean(|result| result.clients as f64),
+        mean(|result| result.faults as f64),
+        mean(|result| result.requests as f64),
+        mean(|result| result.network_events as f64),
+        mean(|result| result.service),
     );
 }
--- a/crates/lab/src/shrink.rs
+++ b/crates/lab/src/shrink.rs
@@ -1,4 +1,4 @@
-//! Makes a failing run small: leaves out faults, submitters, execute nodes and proxies while the same rule still
+//! The `shrink` command: removes faults, clients and backends from a failing script while the same rule still
 //! breaks (delta debugging; Zeller and Hildebrandt, IEEE TSE 28(2), 2002).
 
 use argh::FromArgs;
@@ -8,92 +8,95 @@
 use pierloom_world::script::{Fault, Script};
 use std::path::PathBuf;
 
-/// Make a failing seed's script small while the same rule still breaks.
+/// Remove faults, clients and backends from a failing script while the same rule still breaks.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "shrink")]
 pub struct Shrink {
-    /// the seed, or a script's file
-    #[argh(positional)]
-    what: String,
-    /// the file for the small script
+    /// a seed, or the path of a script
+    #[argh(positional, arg_name = "what")]
+    seed_or_script: String,
+    /// write the reduced script to this file
     #[argh(option, short = 'o')]
     output: PathBuf,
-    /// a defect that is planted in the proxies
+    /// plant this defect in the proxies
     #[argh(option)]
     defect: Option<Defect>,
 }
 
-/// Whether that rule still breaks.
-fn breaks(script: &Script, rule: Rule, options: &Options) -> bool {
+/// Whether the rule breaks when the script runs.
+fn breaks_rule(script: &Script, rule: Rule, options: &Options) -> bool {
     play(script, options).violations.iter().any(|violation| violation.rule == rule)
 }
 
-/// The fewest of these, as far as found, with which `still` holds; it holds with all.
-fn fewest<T: Clone>(all: &[T], mut still: impl FnMut(&[T]) -> bool) -> Vec<T> {
+/// Removes items while `still_fails` holds for the rest. It must hold for all items.
+/// No single item of the result can be removed, but a smaller set may exist.
+fn minimize<T: Clone>(all: &[T], mut still_fails: impl FnMut(&[T]) -> bool) -> Vec<T> {
     let mut kept = all.to_vec();
-    let mut parts = 2;
+    let mut chunk_count = 2;
     while !kept.is_empty() {
-        let size = kept.len().div_ceil(parts);
-        let smaller = (0..kept.len()).step_by(size).find_map(|begin| {
+        let chunk_size = kept.len().div_ceil(chunk_count);
+        let reduced = (0..kept.len()).step_by(chunk_size).find_map(|start| {
             let mut rest = kept.clone();
-            rest.drain(begin..(begin + size).min(kept.len()));
-            still(&rest).then_some(rest)
+            rest.drain(start..(start + chunk_size).min(kept.len()));
+            still_fails(&rest).then_some(rest)
         });
-        match smaller {
-            Some(rest) => (kept, parts) = (rest, parts.saturating_sub(1).max(2)),
-            None if size == 1 => break,
-            None => parts = (parts * 2).min(kept.len()),
+        match reduced {
+            Some(rest) => (kept, chunk_count) = (rest, chunk_count.saturating_sub(1).max(2)),
+            None if chunk_size == 1 => break,
+            None => chunk_count = (chunk_count * 2).min(kept.len()),
         }
     }
     kept
 }
 
-/// Shrinks it; whether no rule broke in the first place.
-pub fn run(asked: &Shrink) -> Result<bool, String> {
+/// Runs the `shrink` command; returns whether the script kept every rule, so that there is nothing to shrink.
+pub fn run(args: &Shrink) -> Result<bool, String> {
     let options = Options {
-        build: asked.defect.map(Defect::component_factory),
-        injected_defect: asked.defect.and_then(Defect::injected_defect),
+        build: args.defect.map(Defect::component_factory),
+        injected_defect: args.defect.and_then(Defect::injected_defect),
         ..Options::default()
     };
-    let mut script = crate::script(&asked.what)?;
+    let mut script = crate::load_script(&args.seed_or_script)?;
     let report = play(&script, &options);
-    let Some(first) = report.violations.first() else {
+    let Some(first_violation) = report.violations.first() else {
         println!("no rule breaks");
         return Ok(true);
     };
-    let rule = first.rule;
-    let size = |script: &Script| (script.faults.len(), script.clients.len(), script.backends.len());
-    let before = size(&script);
-    // What comes after the breach is not needed; the end of a run looks for leftovers, so it stays an end.
+    let rule = first_violation.rule;
+    let sizes = |script: &Script| (script.faults.len(), script.clients.len(), script.backends.len());
+    let sizes_before = sizes(&script);
+    // The script keeps its length, although nothing after the violation is needed: the check for leftover
+    // tasks, descriptors and connections runs at the end.
     loop {
-        let at = size(&script);
-        script.faults = fewest(&script.faults.clone(), |faults| {
-            breaks(&Script { faults: faults.to_vec(), ..script.clone() }, rule, &options)
+        let sizes_at_start = sizes(&script);
+        script.faults = minimize(&script.faults.clone(), |faults| {
+            breaks_rule(&Script { faults: faults.to_vec(), ..script.clone() }, rule, &options)
         });
-        script.clients = fewest(&script.clients.clone(), |clients| {
-            breaks(&Script { clients: clients.to_vec(), ..script.clone() }, rule, &options)
+        script.clients = minimize(&script.clients.clone(), |clients| {
+            breaks_rule(&Script { clients: clients.to_vec(), ..script.clone() }, rule, &options)
         });
-        script.backends = fewest(&script.backends.clone(), |backends| {
-            let named =
-                |fault: &Fault| fault.backend().is_none_or(|name| backends.iter().any(|n| n.name == name));
+        script.backends = minimize(&script.backends.clone(), |backends| {
+            let names_kept_backend = |fault: &Fault| {
+                fault.backend().is_none_or(|name| backends.iter().any(|backend| backend.name == name))
+            };
             !backends.is_empty()
-                && script.faults.iter().all(named)
-                && breaks(&Script { backends: backends.to_vec(), ..script.clone() }, rule, &options)
+                && script.faults.iter().all(names_kept_backend)
+                && breaks_rule(&Script { backends: backends.to_vec(), ..script.clone() }, rule, &options)
         });
-        if size(&script) == at {
+        if sizes(&script) == sizes_at_start {
             break;
         }
     }
-    let after = size(&script);
-    crate::write(&asked.output, &script.print())?;
+    let sizes_after = sizes(&script);
+    crate::write_file(&args.output, &script.print())?;
     println!(
         "{rule:?}: {} faults, {} submitters and {} execute nodes of {}, {} and {} are left, in {} lines",
-        after.0,
-        after.1,
-        after.2,
-        before.0,
-        before.1,
-        before.2,
+        sizes_after.0,
+        sizes_after.1,
+        sizes_after.2,
+        sizes_before.0,
+        sizes_before.1,
+        sizes_before.2,
         script.print().lines().count()
     );
     Ok(false)
