--- a/crates/lab/tests/seeds.rs
+++ b/crates/lab/tests/seeds.rs
@@ -1,6 +1,6 @@
-//! Seeds as CI plays them: a fixed lot of them, the corpus of what was found, the same digests however they are
-//! played, and planted defects.
-#![allow(clippy::disallowed_types, clippy::disallowed_methods)] // the lab's program and its files
+//! The runs of CI: a fixed range of seeds, the corpus of scripts that once broke a rule, and planted defects.
+//! Equal seeds give equal digests however they are run.
+#![allow(clippy::disallowed_types, clippy::disallowed_methods)] // runs the lab's program and reads its files
 
 use pierloom_lab::defects::{DEFECTS, DETECTED};
 use pierloom_world::generate::generate_script;
@@ -9,7 +9,8 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-fn lab(arguments: &[&str]) -> Output {
+/// Runs the lab's program to its end.
+fn run_lab(arguments: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_pierloom-lab")).args(arguments).output().unwrap()
 }
 
@@ -17,57 +18,63 @@
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// A file of that name in a folder for tests.
-fn file(name: &str) -> PathBuf {
+/// The path of a file in the tests' temporary folder.
+fn temporary_file(name: &str) -> PathBuf {
     Path::new(env!("CARGO_TARGET_TMPDIR")).join(name)
 }
 
+/// Guards against a broken rule in any of 200 generated scripts, and against runs on several threads that
+/// affect each other: 4 and 3 threads must give the same results, and each seed its own digest.
 #[test]
-fn two_hundred_seeds_keep_every_rule_and_replay_alike() {
-    let play = |name: &str, jobs: &str| {
-        let path = file(name);
-        let output = lab(&["seeds", "--count", "200", "--jobs", jobs, "--json", path.to_str().unwrap()]);
+fn two_hundred_seeds_keep_every_rule_with_equal_digests_on_any_number_of_threads() {
+    let run_seeds = |name: &str, jobs: &str| {
+        let path = temporary_file(name);
+        let output = run_lab(&["seeds", "--count", "200", "--jobs", jobs, "--json", path.to_str().unwrap()]);
         assert!(output.status.success(), "{}{}", text(&output.stdout), text(&output.stderr));
         std::fs::read_to_string(path).unwrap()
     };
-    let four = play("four.json", "4");
-    let one = play("some.json", "3");
-    assert!(one == four, "the same seeds, other digests");
+    let four_threads = run_seeds("four.json", "4");
+    let three_threads = run_seeds("some.json", "3");
+    assert!(three_threads == four_threads, "the results of equal seeds differ between 3 and 4 threads");
     let digests: std::collections::BTreeSet<&str> =
-        four.split("\"digest\":\"").skip(1).map(|rest| &rest[..16]).collect();
+        four_threads.split("\"digest\":\"").skip(1).map(|rest| &rest[..16]).collect();
     assert_eq!(digests.len(), 200, "one digest for each seed");
 }
 
+/// Guards against the return of faults that were found before; the corpus holds scripts that showed them.
 #[test]
-fn the_corpus_of_what_was_found_keeps_every_rule() {
+fn corpus_scripts_keep_every_rule() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("corpus");
-    let mut played = 0;
+    let mut script_count = 0;
     for entry in std::fs::read_dir(folder).unwrap() {
         let path = entry.unwrap().path();
         let script = std::fs::read_to_string(&path).unwrap();
         let script = Script::read(path.to_str().unwrap(), &script).unwrap();
         let report = play(&script, &Options::default());
         assert!(report.violations.is_empty(), "{}: {:#?}", path.display(), report.violations);
-        played += 1;
+        script_count += 1;
     }
-    assert!(played > 0, "there is no corpus");
+    assert!(script_count > 0, "the corpus folder holds no script");
 }
 
+/// Guards against a script that is printed incompletely: read back, it must equal the generated script
+/// and give the same digest.
 #[test]
-fn a_printed_script_plays_as_its_seed_does() {
+fn printed_script_gives_the_same_digest_as_its_seed() {
     for seed in 0..5 {
-        let drawn = generate_script(seed);
-        let read = Script::read("printed", &drawn.print()).unwrap();
-        assert_eq!(read, drawn);
+        let generated = generate_script(seed);
+        let read = Script::read("printed", &generated.print()).unwrap();
+        assert_eq!(read, generated);
         let digest = |script| play(script, &Options::default()).digest;
-        assert_eq!(digest(&read), digest(&drawn));
+        assert_eq!(digest(&read), digest(&generated));
     }
 }
 
+/// Guards against an observer that misses a broken rule: each defect must break one in the first 60 seeds.
 #[test]
-fn planted_defects_are_found() {
+fn planted_defects_break_a_rule_within_60_seeds() {
     for (name, defect) in DEFECTS.iter().filter(|(name, _)| DETECTED.contains(name)) {
-        let found = (0..60).find(|&seed| {
+        let detecting_seed = (0..60).find(|&seed| {
             let options = Options {
                 build: Some(defect.component_factory()),
                 injected_defect: defect.injected_defect(),
@@ -75,44 +82,47 @@
             };
             !play(&generate_script(seed), &options).violations.is_empty()
         });
-        assert!(found.is_some(), "{name} is not found in 60 seeds");
+        assert!(detecting_seed.is_some(), "{name} is not detected in 60 seeds");
     }
 }
 
+/// Guards against an error for an invalid script that does not show its place: one line names the file,
+/// the line and the key.
 #[test]
-fn a_bad_script_is_refused_with_file_line_and_key() {
-    let good = generate_script(3).print();
-    let fault = |text: &str| format!("{good}\n[[fault]]\n{text}");
-    let lines = good.lines().count();
+fn invalid_script_is_rejected_with_file_line_and_key() {
+    let valid = generate_script(3).print();
+    let with_fault = |text: &str| format!("{valid}\n[[fault]]\n{text}");
+    let lines = valid.lines().count();
     let cases = [
-        (fault("kind = \"earthquake\"\nat_ms = 5\n"), lines + 3, "kind"),
-        (fault("kind = \"reload\"\nat_ms = -5\n"), lines + 4, "at_ms"),
-        (fault("kind = \"discovery-down\"\nat_ms = 9\nuntil_ms = 3\n"), lines + 5, "until_ms"),
-        (fault("kind = \"crash\"\nnode = \"nobody\"\nat_ms = 9\n"), lines + 4, "node"),
-        (fault("kind = \"kill\"\nproxy = 9\nat_ms = 9\nuntil_ms = 10\n"), lines + 4, "proxy"),
-        (good.replace("length_ms = ", "length_ms = -"), 3, "length_ms"),
-        (good.replace("window = ", "windows = "), 9, "windows"),
+        (with_fault("kind = \"earthquake\"\nat_ms = 5\n"), lines + 3, "kind"),
+        (with_fault("kind = \"reload\"\nat_ms = -5\n"), lines + 4, "at_ms"),
+        (with_fault("kind = \"discovery-down\"\nat_ms = 9\nuntil_ms = 3\n"), lines + 5, "until_ms"),
+        (with_fault("kind = \"crash\"\nnode = \"nobody\"\nat_ms = 9\n"), lines + 4, "node"),
+        (with_fault("kind = \"kill\"\nproxy = 9\nat_ms = 9\nuntil_ms = 10\n"), lines + 4, "proxy"),
+        (valid.replace("length_ms = ", "length_ms = -"), 3, "length_ms"),
+        (valid.replace("window = ", "windows = "), 9, "windows"),
     ];
-    let path = file("bad.toml");
+    let path = temporary_file("bad.toml");
     let name = path.to_str().unwrap();
     for (script, line, key) in cases {
         std::fs::write(&path, &script).unwrap();
-        let output = lab(&["replay", name]);
-        let said = text(&output.stderr);
-        assert_eq!(output.status.code(), Some(2), "{said}");
-        assert_eq!(said.lines().count(), 1, "{said}");
-        assert!(said.contains(name) && said.contains(key), "{key}: {said}");
-        assert!(said.contains(&format!("line {line}:")), "line {line}: {said}");
+        let output = run_lab(&["replay", name]);
+        let stderr = text(&output.stderr);
+        assert_eq!(output.status.code(), Some(2), "{stderr}");
+        assert_eq!(stderr.lines().count(), 1, "{stderr}");
+        assert!(stderr.contains(name) && stderr.contains(key), "{key}: {stderr}");
+        assert!(stderr.contains(&format!("line {line}:")), "line {line}: {stderr}");
     }
 }
 
+/// Guards against an invalid seed that is accepted, or whose error takes more than one line.
 #[test]
-fn a_seed_that_is_no_number_is_one_line_and_code_2() {
+fn invalid_seed_prints_one_line_and_exits_with_code_2() {
     for arguments in [["replay", "seven"], ["digest", "-1"], ["script", "1.5"]] {
-        let output = lab(&arguments);
-        let said = text(&output.stderr);
-        assert_eq!(output.status.code(), Some(2), "{said}");
-        assert_eq!(said.lines().count(), 1, "{said}");
-        assert!(said.contains(arguments[1]), "{said}");
+        let output = run_lab(&arguments);
+        let stderr = text(&output.stderr);
+        assert_eq!(output.status.code(), Some(2), "{stderr}");
+        assert_eq!(stderr.lines().count(), 1, "{stderr}");
+        assert!(stderr.contains(arguments[1]), "{stderr}");
     }
 }
