--- a/crates/lab/tests/common/mod.rs
+++ b/crates/lab/tests/common/mod.rs
@@ -1,9 +1,9 @@
-//! A small site that the tests change as they need.
+//! A small script that the tests change as they need.
 
 use pierloom_world::script::{BackendSpec, ClientSpec, Contract, FORMAT, LinkSpec, ProxySpec, Script};
 
-/// Two proxies, six execute nodes, and a submitter every `gap` milliseconds.
-pub fn calm(clients: u64, gap: u64) -> Script {
+/// Two proxies, six backends, and this many clients, one every `gap_ms`; no faults.
+pub fn script_without_faults(clients: u64, gap_ms: u64) -> Script {
     let backend = |i: usize| BackendSpec {
         name: format!("label-{i}"),
         zone: i % 2,
@@ -19,7 +19,7 @@
         sends_away: false,
     };
     let client = |i: u64| ClientSpec {
-        at_ms: 500 + i * gap,
+        at_ms: 500 + i * gap_ms,
         zone: (i % 2) as usize,
         key: i,
         group: i % 12,
--- a/crates/lab/tests/hard_cases.rs
+++ b/crates/lab/tests/hard_cases.rs
@@ -1,8 +1,9 @@
-//! The hard cases, each brought about on the virtual clock, with a look at the crossings that shows it occurred.
+//! Rare interleavings, produced in the simulated world. Most tests also read the trace or the counts, to
+//! check that the interleaving occurred.
 
 mod common;
 
-use common::calm;
+use common::script_without_faults;
 use pierloom_host::Micros;
 use pierloom_world::observer::Trace;
 use pierloom_world::run::{Options, Report, play, single_process};
@@ -11,8 +12,9 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Plays it in that many orders; each keeps the rules. Everything that crossed, run by run.
-fn keeps_the_rules(script: &Script, orders: u64) -> Vec<Report> {
+/// Runs the script once for each of `orders` event orders, and checks that no rule broke.
+/// Returns the reports, with their traces.
+fn play_without_violations(script: &Script, orders: u64) -> Vec<Report> {
     (0..orders)
         .map(|order| {
             let script = Script { order, ..script.clone() };
@@ -23,51 +25,58 @@
         .collect()
 }
 
-/// A crossing's time in microseconds and its words.
-fn parsed(line: &str) -> (Micros, &str) {
-    let (seconds, words) = line.split_once(' ').unwrap();
-    ((seconds.parse::<f64>().unwrap() * 1e6).round() as Micros, words)
+/// Splits a trace line into its time in microseconds and the rest, which describes the event.
+fn parse_trace_line(line: &str) -> (Micros, &str) {
+    let (seconds, event) = line.split_once(' ').unwrap();
+    ((seconds.parse::<f64>().unwrap() * 1e6).round() as Micros, event)
 }
 
-/// Its connection.
-fn connection(words: &str) -> &str {
-    words.split(' ').next().unwrap()
+/// The connection of a trace event.
+fn connection(event: &str) -> &str {
+    event.split(' ').next().unwrap()
 }
 
+/// Guards against a simulation that runs simultaneous events in a fixed order, which would hide races.
+/// Two timers are due at the same instant: which one fires first depends on the seed, and is the same for
+/// equal seeds.
 #[test]
-fn timers_due_in_the_same_instant_come_in_both_orders() {
-    let first = |seed| {
+fn timers_due_at_the_same_instant_fire_in_either_order_depending_on_the_seed() {
+    let first_to_fire = |seed| {
         let (sim, host) = single_process(seed);
-        let woken = Rc::new(RefCell::new(Vec::new()));
+        let fired = Rc::new(RefCell::new(Vec::new()));
         for name in ["a", "b"] {
-            let (machine, woken) = (host.clone(), woken.clone());
+            let (machine, fired) = (host.clone(), fired.clone());
             host.spawn(async move {
                 machine.sleep_until(machine.now() + 1_000).await;
-                woken.borrow_mut().push(name);
+                fired.borrow_mut().push(name);
             });
         }
         let end = sim.now() + 2_000;
         assert!(sim.run_until(end));
-        woken.borrow()[0]
+        fired.borrow()[0]
     };
-    let orders: Vec<&str> = (0..16).map(first).collect();
+    let orders: Vec<&str> = (0..16).map(first_to_fire).collect();
     assert!(orders.contains(&"a") && orders.contains(&"b"), "{orders:?}");
-    assert_eq!(orders, (0..16).map(first).collect::<Vec<_>>(), "the same seed, the same order");
-    // And the whole world: everybody comes in one instant on links without jitter.
-    let mut script = calm(60, 0);
+    assert_eq!(orders, (0..16).map(first_to_fire).collect::<Vec<_>>(), "the order differs for equal seeds");
+    // The same in a whole run: all clients connect at the same instant, on links without jitter.
+    let mut script = script_without_faults(60, 0);
     script.links.jitter = 0.0;
-    let reports = keeps_the_rules(&script, 8);
+    let reports = play_without_violations(&script, 8);
     assert!(reports.iter().any(|report| report.digest != reports[0].digest));
 }
 
+/// Guards against a broken rule when a client or a backend resets its connection and bytes that it sent
+/// before are lost. Every reset overtakes what is in flight; clients reset as they send, and backends
+/// crash.
 #[test]
-fn a_message_lost_while_its_connection_closes_from_either_side() {
-    let mut script = calm(80, 100);
+fn bytes_lost_at_a_reset_from_either_side_keep_every_rule() {
+    let mut script = script_without_faults(80, 100);
     (script.links.lossy, script.links.same_us, script.links.cross_us) = (1.0, 20_000, 60_000);
-    // Lives that end as a line has just been sent: each two seconds after the last.
+    // Clients send a line every two seconds. Lifetimes differ by 40 ms, so that some end just as a line has
+    // been sent.
     for (i, client) in script.clients.iter_mut().enumerate() {
         (client.resets, client.life_ms) = (true, 3_000 + 40 * i as u64);
-        // Some leave while their opening is on its way.
+        // Every fourth client leaves while its request is in flight.
         client.leaves_ms = (i % 4 == 0).then_some(0);
     }
     for at_ms in (2_000..9_000).step_by(1_000) {
@@ -76,36 +85,40 @@
             script.faults.push(Fault::Crash { node: backend, at_ms, until_ms: Some(at_ms + 500) });
         }
     }
-    let reports = keeps_the_rules(&script, 6);
-    // Bytes that a side sent on a connection that it then reset, and that never arrived.
-    let lost = |side: &str| {
+    let reports = play_without_violations(&script, 6);
+    // Bytes that hosts of this name sent to a proxy before they reset the connection, and that never arrived.
+    let lost_bytes = |sender: &str| {
         let mut lost = 0;
         for report in &reports {
-            let mut under_way: BTreeMap<&str, i64> = BTreeMap::new();
-            for (_, words) in report.trace_lines.iter().map(|line| parsed(line)) {
-                let mine = words.split_once(' ').is_some_and(|(_, rest)| rest.starts_with(side));
-                if !mine || !words.contains(" p") {
+            let mut in_flight: BTreeMap<&str, i64> = BTreeMap::new();
+            for (_, event) in report.trace_lines.iter().map(|line| parse_trace_line(line)) {
+                let from_sender = event.split_once(' ').is_some_and(|(_, rest)| rest.starts_with(sender));
+                if !from_sender || !event.contains(" p") {
                     continue;
                 }
-                let bytes = words.split(" bytes").next().and_then(|head| head.rsplit(' ').next());
+                let bytes = event.split(" bytes").next().and_then(|head| head.rsplit(' ').next());
                 let bytes = bytes.and_then(|bytes| bytes.parse::<i64>().ok()).unwrap_or(0);
-                let way = under_way.entry(connection(words)).or_default();
-                *way += if words.contains(" sends to ") { bytes } else { -bytes };
-                if words.ends_with(" reaches p0 a reset") || words.ends_with(" reaches p1 a reset") {
-                    lost += *way;
+                let unarrived = in_flight.entry(connection(event)).or_default();
+                *unarrived += if event.contains(" sends to ") { bytes } else { -bytes };
+                if event.ends_with(" reaches p0 a reset") || event.ends_with(" reaches p1 a reset") {
+                    lost += *unarrived;
                 }
             }
         }
         lost
     };
-    let (backends, clients) = (lost("label-"), lost("submitter "));
-    assert!(backends > 0 && clients > 0, "lost from nodes {backends}, from submitters {clients}");
+    let (from_backends, from_clients) = (lost_bytes("label-"), lost_bytes("submitter "));
+    assert!(
+        from_backends > 0 && from_clients > 0,
+        "bytes lost from backends {from_backends}, from clients {from_clients}"
+    );
 }
 
+/// Guards against a broken rule when discovery reports a drain while an attempt is in progress. Setup
+/// takes 120 ms, so that attempts are in progress when the report arrives.
 #[test]
-fn a_drain_told_in_the_middle_of_an_attempt() {
-    // Set-ups take long, so that claims are out when the drain is told.
-    let mut script = calm(150, 60);
+fn drain_reported_during_an_attempt_keeps_every_rule() {
+    let mut script = script_without_faults(150, 60);
     script.backends.iter_mut().for_each(|backend| backend.setup_ms = 120.0);
     for (i, at_ms) in [(0, 3_000), (1, 5_000), (2, 7_000)] {
         let backend = format!("label-{i}");
@@ -116,105 +129,126 @@
             until_ms: Some(at_ms + 6_000),
         });
     }
-    let reports = keeps_the_rules(&script, 4);
-    let mut met = 0;
+    let reports = play_without_violations(&script, 4);
+    let mut occurrences = 0;
     for report in &reports {
-        let trace_lines: Vec<(Micros, &str)> = report.trace_lines.iter().map(|line| parsed(line)).collect();
-        for (at, words) in trace_lines.iter().filter(|(_, words)| words.contains("discovery reaches p0")) {
-            // A claim of p0's that opened shortly before and came up or was turned away shortly after.
-            let opened = trace_lines.iter().filter(|(t, w)| {
-                w.contains("p0 sends to label-") && w.contains("OPEN ") && t + 60_000 > *at && t < at
+        let trace_lines: Vec<(Micros, &str)> =
+            report.trace_lines.iter().map(|line| parse_trace_line(line)).collect();
+        for (reported_at, event) in
+            trace_lines.iter().filter(|(_, event)| event.contains("discovery reaches p0"))
+        {
+            // Attempts of p0 that started less than 60 ms before the report and were answered after it.
+            let opened = trace_lines.iter().filter(|(at, sent)| {
+                sent.contains("p0 sends to label-")
+                    && sent.contains("OPEN ")
+                    && at + 60_000 > *reported_at
+                    && at < reported_at
             });
-            met += opened
-                .filter(|(_, w)| {
-                    trace_lines.iter().any(|(t, answer)| {
-                        connection(answer) == connection(w) && answer.contains("reaches p0") && t > at
+            occurrences += opened
+                .filter(|(_, sent)| {
+                    trace_lines.iter().any(|(at, answer)| {
+                        connection(answer) == connection(sent)
+                            && answer.contains("reaches p0")
+                            && at > reported_at
                     })
                 })
                 .count();
-            let _ = words;
+            let _ = event;
         }
     }
-    assert!(met > 0, "no claim was out when a change was told");
+    assert!(occurrences > 0, "no attempt was in progress when discovery reported a change");
 }
 
+/// Guards against a broken rule when a load report arrives after its backend crashed and came back in
+/// slow start. Reports arrive 4 s late, and crashed backends are back after 400 ms.
 #[test]
-fn a_report_that_arrives_after_its_backend_died_and_came_back_cold() {
-    let mut script = calm(120, 80);
+fn load_report_from_before_a_restart_keeps_every_rule() {
+    let mut script = script_without_faults(120, 80);
     script.faults.push(Fault::LateReports { at_ms: 1_000, until_ms: 18_000, by_ms: 4_000 });
     for i in 0..3 {
         let backend = format!("label-{i}");
         let at_ms = 4_000 + i * 1_500;
         script.faults.push(Fault::Crash { node: backend, at_ms, until_ms: Some(at_ms + 400) });
     }
-    let reports = keeps_the_rules(&script, 6);
-    // The node that is back answers probes.
+    let reports = play_without_violations(&script, 6);
+    // The restarted backend answers probes.
     let answers = reports.iter().flat_map(|report| &report.trace_lines);
     let answers = answers.filter(|line| line.contains("label-0 reaches p") && line.contains("PONG x0"));
-    assert!(answers.map(|line| parsed(line).0).any(|at| at > 4_400_000));
+    assert!(answers.map(|line| parse_trace_line(line).0).any(|at| at > 4_400_000));
 }
 
+/// Guards against a broken rule, or a planned stop that moves no client, when SIGTERM arrives during a
+/// config reload. SIGTERM follows SIGHUP after 0 to 400 ms, and the other proxy gets an invalid config at
+/// the same time.
 #[test]
-fn sigterm_during_a_reload() {
-    for gap in [0, 1, 20, 400] {
-        let mut script = calm(100, 100);
+fn sigterm_during_a_reload_moves_clients_and_keeps_every_rule() {
+    for gap_ms in [0, 1, 20, 400] {
+        let mut script = script_without_faults(100, 100);
         script.faults.push(Fault::Reload { at_ms: 6_000 });
-        script.faults.push(Fault::Restart { proxy: 0, at_ms: 6_000 + gap, until_ms: 12_000 });
-        script.faults.push(Fault::BadReload { proxy: 1, at_ms: 6_000 + gap });
-        let reports = keeps_the_rules(&script, 3);
-        assert!(reports.iter().all(|report| report.counts.moves > 0), "the stop moved nobody");
+        script.faults.push(Fault::Restart { proxy: 0, at_ms: 6_000 + gap_ms, until_ms: 12_000 });
+        script.faults.push(Fault::BadReload { proxy: 1, at_ms: 6_000 + gap_ms });
+        let reports = play_without_violations(&script, 3);
+        assert!(reports.iter().all(|report| report.counts.moves > 0), "the stop moved no client");
     }
 }
 
+/// Guards against a broken rule when discovery is cut off while it reports a drain: it falls silent,
+/// without closing its connections, 0 to 50 ms after the backend begins to drain.
 #[test]
-fn discovery_cut_silently_while_it_tells_of_a_drain() {
-    for gap in [0, 1, 2, 50] {
-        let mut script = calm(100, 100);
+fn discovery_cut_off_while_reporting_a_drain_keeps_every_rule() {
+    for gap_ms in [0, 1, 2, 50] {
+        let mut script = script_without_faults(100, 100);
         let backend = "label-0".to_string();
         let (stop_ms, until_ms) = (11_000, Some(12_000));
         script.faults.push(Fault::Drain { node: backend, at_ms: 5_000, stop_ms, until_ms });
-        script.faults.push(Fault::DiscoveryCut { at_ms: 5_000 + gap, until_ms: 9_000 });
-        keeps_the_rules(&script, 3);
+        script.faults.push(Fault::DiscoveryCut { at_ms: 5_000 + gap_ms, until_ms: 9_000 });
+        play_without_violations(&script, 3);
     }
 }
 
+/// Guards against a broken rule when a client leaves at the moment that the proxy answers UP. Links have
+/// no jitter, so that an answer takes equally long each time. Clients leave 1 to 16 ms after their
+/// request, so that some leave while the answer is in flight; every third one leaves by a reset.
 #[test]
-fn a_client_that_leaves_in_the_instant_of_its_up() {
-    // Links without jitter: an answer takes as long each time, and some leave just when it is under way.
-    let mut script = calm(160, 40);
+fn client_leaving_while_its_up_is_in_flight_keeps_every_rule() {
+    let mut script = script_without_faults(160, 40);
     script.links.jitter = 0.0;
     for (i, client) in script.clients.iter_mut().enumerate() {
         client.leaves_ms = Some(1 + i as u64 % 16);
         client.resets = i % 3 == 0;
     }
-    let reports = keeps_the_rules(&script, 4);
-    let mut met = 0;
+    let reports = play_without_violations(&script, 4);
+    let mut occurrences = 0;
     for report in &reports {
-        let trace_lines: Vec<(Micros, &str)> = report.trace_lines.iter().map(|line| parsed(line)).collect();
-        for (at, words) in
-            trace_lines.iter().filter(|(_, w)| w.contains("sends to submitter") && w.contains("\"UP "))
+        let trace_lines: Vec<(Micros, &str)> =
+            report.trace_lines.iter().map(|line| parse_trace_line(line)).collect();
+        for (up_at, up) in trace_lines
+            .iter()
+            .filter(|(_, event)| event.contains("sends to submitter") && event.contains("\"UP "))
         {
-            // It left before the answer reached it, and the proxy did not know yet.
-            met += trace_lines
+            // The client left before UP reached it, and the proxy did not know yet.
+            occurrences += trace_lines
                 .iter()
-                .filter(|(t, w)| {
-                    connection(w) == connection(words)
-                        && w.contains(" submitter ")
-                        && w.contains(" sends to p")
-                        && (w.ends_with("its end") || w.ends_with("a reset"))
-                        && t.abs_diff(*at) < 1_000
+                .filter(|(at, event)| {
+                    connection(event) == connection(up)
+                        && event.contains(" submitter ")
+                        && event.contains(" sends to p")
+                        && (event.ends_with("its end") || event.ends_with("a reset"))
+                        && at.abs_diff(*up_at) < 1_000
                 })
                 .count();
         }
     }
-    assert!(met > 0, "nobody left in the instant of its UP");
+    assert!(occurrences > 0, "no client left while its UP was in flight");
 }
 
+/// Guards against a broken rule when a backend resets the connection while the end of the OPEN line is in
+/// flight to it. The window is smaller than the line, so that its last bytes are written later than its
+/// first ones. They are in flight for 50 ms between zones, and 40 lines are written there each second
+/// before a crash.
 #[test]
-fn the_last_byte_of_open_written_as_the_backend_resets() {
-    // A window smaller than the line: its last bytes are written later than its first ones.
-    // That end is on its way for 50 ms between zones, and 40 lines are written there each second before a crash.
-    let mut script = calm(400, 20);
+fn backend_reset_while_the_end_of_open_is_in_flight_keeps_every_rule() {
+    let mut script = script_without_faults(400, 20);
     (script.links.window, script.links.partial, script.links.cross_us) = (64, 0.5, 50_000);
     for i in 0..6 {
         for at_ms in [2_000, 4_000, 6_000] {
@@ -222,48 +256,62 @@
             script.faults.push(Fault::Crash { node: backend, at_ms, until_ms: Some(at_ms + 800) });
         }
     }
-    let reports = keeps_the_rules(&script, 4);
-    let mut met = 0;
+    let reports = play_without_violations(&script, 4);
+    let mut occurrences = 0;
     for report in &reports {
-        let trace_lines: Vec<(Micros, &str)> = report.trace_lines.iter().map(|line| parsed(line)).collect();
-        for (i, (_, words)) in trace_lines.iter().enumerate() {
-            if !(words.contains(" sends to p") && words.contains(" label-") && words.ends_with("a reset")) {
+        let trace_lines: Vec<(Micros, &str)> =
+            report.trace_lines.iter().map(|line| parse_trace_line(line)).collect();
+        for (i, (_, reset)) in trace_lines.iter().enumerate() {
+            if !(reset.contains(" sends to p") && reset.contains(" label-") && reset.ends_with("a reset")) {
                 continue;
             }
-            let mine = |w: &&(Micros, &str)| connection(w.1) == connection(words);
-            let sent = trace_lines.iter().filter(mine).filter(|(_, w)| w.contains("sends to label-"));
-            let wrote_all = sent.clone().any(|(_, w)| w.contains("\\r\\n\""));
-            let heard_all = trace_lines[..i]
+            let same_connection = |line: &&(Micros, &str)| connection(line.1) == connection(reset);
+            let sent = trace_lines
+                .iter()
+                .filter(same_connection)
+                .filter(|(_, event)| event.contains("sends to label-"));
+            let line_end_sent = sent.clone().any(|(_, event)| event.contains("\\r\\n\""));
+            let line_end_arrived = trace_lines[..i]
                 .iter()
-                .filter(mine)
-                .any(|(_, w)| w.contains("reaches label-") && w.contains("\\r\\n\""));
-            let begun = sent.clone().any(|(_, w)| w.contains("\"OPEN") || w.contains("\"O"));
-            met += usize::from(begun && wrote_all && !heard_all);
+                .filter(same_connection)
+                .any(|(_, event)| event.contains("reaches label-") && event.contains("\\r\\n\""));
+            let open_sent = sent.clone().any(|(_, event)| event.contains("\"OPEN") || event.contains("\"O"));
+            occurrences += usize::from(open_sent && line_end_sent && !line_end_arrived);
         }
     }
-    assert!(met > 0, "no node reset while the end of a line was on its way");
+    assert!(occurrences > 0, "no backend reset its connection while the end of a line was in flight");
 }
 
+/// Guards against proxies that do not recover from the loss of all backends. All six crash at 6 s and are
+/// back at 9 s: clients are refused in between, and served again afterwards.
 #[test]
-fn all_backends_gone_and_back() {
-    let mut script = calm(120, 80);
+fn clients_are_refused_while_all_backends_are_down_and_served_after_their_restart() {
+    let mut script = script_without_faults(120, 80);
     for i in 0..6 {
         script.faults.push(Fault::Crash { node: format!("label-{i}"), at_ms: 6_000, until_ms: Some(9_000) });
     }
-    let reports = keeps_the_rules(&script, 6);
+    let reports = play_without_violations(&script, 6);
     for report in &reports {
-        let after = |at: f64, what: &str| {
-            report.trace_lines.iter().any(|line| parsed(line).0 as f64 > at * 1e6 && line.contains(what))
+        let occurs_after = |seconds: f64, text: &str| {
+            report
+                .trace_lines
+                .iter()
+                .any(|line| parse_trace_line(line).0 as f64 > seconds * 1e6 && line.contains(text))
         };
-        assert!(after(6.1, "\"BUSY") && after(9.5, "\"UP "), "refused meanwhile, and served again");
+        assert!(
+            occurs_after(6.1, "\"BUSY") && occurs_after(9.5, "\"UP "),
+            "no refusal during the outage, or no client served after it"
+        );
     }
 }
 
+/// Guards against a broken rule when a proxy runs out of file descriptors while a backend drains. The
+/// system allows fewer descriptors than the proxy's config states, so that the proxy reaches the system's
+/// limit.
 #[test]
-fn out_of_descriptors_while_draining() {
-    let mut script = calm(150, 40);
-    script.clients.iter_mut().for_each(|s| s.zone = 0);
-    // As many as the system allows are fewer than the proxy is told: it meets the wall.
+fn clients_are_refused_when_descriptors_run_out_during_a_drain() {
+    let mut script = script_without_faults(150, 40);
+    script.clients.iter_mut().for_each(|client| client.zone = 0);
     for proxy in &mut script.proxies {
         (proxy.descriptors, proxy.told_descriptors) = (96, Some(512));
     }
@@ -273,6 +321,6 @@
         stop_ms: 9_000,
         until_ms: Some(11_000),
     });
-    let reports = keeps_the_rules(&script, 4);
-    assert!(reports.iter().all(|report| report.counts.refused > 10), "nobody was refused for want of room");
+    let reports = play_without_violations(&script, 4);
+    assert!(reports.iter().all(|report| report.counts.refused > 10), "no more than 10 clients were refused");
 }
--- a/crates/lab/tests/real.rs
+++ b/crates/lab/tests/real.rs
@@ -1,45 +1,52 @@
-//! One and the same script on the virtual clock and on real loopback sockets.
+//! Runs the same script in the simulated world and on real loopback sockets.
 
 mod common;
 
-use common::calm;
+use common::script_without_faults;
 use pierloom_world::real;
 use pierloom_world::run::{Options, play, service};
 use pierloom_world::script::{Fault, Script};
 
-/// Both give each submitter the same answers, and services that lie as close as that.
-fn agree(script: &Script, within: f64) {
-    let made = play(script, &Options::default());
-    assert!(made.violations.is_empty(), "{:#?}", made.violations);
+/// Checks that each client gets the same answers in both runs, and that the service values differ by at most
+/// `tolerance`.
+fn assert_same_on_real_sockets(script: &Script, tolerance: f64) {
+    let simulated = play(script, &Options::default());
+    assert!(simulated.violations.is_empty(), "{:#?}", simulated.violations);
     let real = real::play(script).unwrap();
     let answers = |outcomes: &[pierloom_world::client::Outcome]| {
         outcomes.iter().map(|outcome| outcome.answers.clone()).collect::<Vec<_>>()
     };
-    let (virtually, really) = (service(&made.outcomes), service(&real.outcomes));
-    println!("service: virtual {virtually:.4}, real {really:.4}");
-    assert_eq!(answers(&made.outcomes), answers(&real.outcomes));
-    assert!((virtually - really).abs() <= within, "service {virtually:.4} and {really:.4}");
+    let (simulated_service, real_service) = (service(&simulated.outcomes), service(&real.outcomes));
+    println!("service: simulated {simulated_service:.4}, real {real_service:.4}");
+    assert_eq!(answers(&simulated.outcomes), answers(&real.outcomes));
+    assert!(
+        (simulated_service - real_service).abs() <= tolerance,
+        "service: simulated {simulated_service:.4}, real {real_service:.4}"
+    );
 }
 
-/// Lives of some seconds, so that real time is short.
-fn short() -> Script {
-    let mut script = calm(40, 100);
+/// A script whose connections last 6 s, so that its run in real time is short.
+fn short_script() -> Script {
+    let mut script = script_without_faults(40, 100);
     script.links.cross_us = 200;
     script.clients.iter_mut().for_each(|client| client.life_ms = 6_000);
     script
 }
 
+/// Guards against a simulation in which clients get other answers than on real sockets, without faults.
 #[test]
-fn a_calm_script_gives_the_same_on_real_sockets() {
-    agree(&short(), 0.05);
+fn script_without_faults_gives_the_same_answers_on_real_sockets() {
+    assert_same_on_real_sockets(&short_script(), 0.05);
 }
 
+/// Guards against a simulation in which clients get other answers than on real sockets when a backend
+/// crashes, another one is slow, and load reports are late.
 #[test]
-fn a_rough_script_gives_the_same_on_real_sockets() {
-    let mut script = short();
-    // Those who stand at the node that crashes come again; everybody else stays.
+fn script_with_faults_gives_the_same_answers_on_real_sockets() {
+    let mut script = short_script();
+    // Clients of the crashed backend reconnect; all others keep their connections.
     script.faults.push(Fault::Crash { node: "label-1".into(), at_ms: 5_200, until_ms: Some(7_000) });
     script.faults.push(Fault::Slow { node: "label-2".into(), at_ms: 2_000, until_ms: 6_000, factor: 2.0 });
     script.faults.push(Fault::LateReports { at_ms: 1_000, until_ms: 6_000, by_ms: 2_000 });
-    agree(&script, 0.08);
+    assert_same_on_real_sockets(&script, 0.08);
 }
