--- a/crates/lab/src/defects.rs
+++ b/crates/lab/src/defects.rs
@@ -111,7 +111,7 @@
     }
 
     /// Builds proxies that have it.
-    pub fn build(self) -> ComponentFactory {
+    pub fn component_factory(self) -> ComponentFactory {
         Rc::new(move |config| {
             let parts = Components::from_config(config)?;
             let module = Balancer::new(config.settings.clone(), config.seed).map_err(|e| e.to_string())?;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -10,7 +10,7 @@
 use pierloom_lab::defects::Defect;
 use pierloom_world::generate::generate_script;
 use pierloom_world::observer::Trace;
-use pierloom_world::run::{Options, Report, play};
+use pierloom_world::run::{Options, Report, run_script};
 use pierloom_world::script::Script;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -105,7 +105,7 @@
         counts.attempts,
         counts.moves,
         counts.network_events,
-        report.service(),
+        report.service_quality(),
         report.digest,
         report.violations.len()
     );
@@ -113,11 +113,15 @@
 
 fn replay(asked: &Replay) -> Result<bool, String> {
     let script = script(&asked.what)?;
-    let build = asked.defect.map(Defect::build);
+    let component_factory = asked.defect.map(Defect::component_factory);
     let trace = if asked.trace { Trace::Print } else { Trace::None };
-    let report = play(
+    let report = run_script(
         &script,
-        &Options { trace, build, injected_defect: asked.defect.and_then(Defect::injected_defect) },
+        &Options {
+            trace,
+            component_factory,
+            injected_defect: asked.defect.and_then(Defect::injected_defect),
+        },
     );
     if asked.json {
         println!("{}", serde_json::to_string(&report).map_err(|e| e.to_string())?);
@@ -155,7 +159,7 @@
         Command::Shrink(asked) => shrink::run(&asked),
         Command::Ledger(asked) => ledger::run(&asked),
         Command::Digest(asked) => script(&asked.what).map(|script| {
-            println!("{:016x}", play(&script, &Options::default()).digest);
+            println!("{:016x}", run_script(&script, &Options::default()).digest);
             true
         }),
     };
--- a/crates/lab/src/seeds.rs
+++ b/crates/lab/src/seeds.rs
@@ -5,7 +5,7 @@
 use pierloom_lab::defects::Defect;
 use pierloom_world::generate::generate_script;
 use pierloom_world::observer::Rule;
-use pierloom_world::run::{Options, play};
+use pierloom_world::run::{Options, run_script};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::io::IsTerminal;
@@ -58,10 +58,10 @@
 
 fn play_one(seed: u64, defect: Option<Defect>) -> Played {
     let script = generate_script(seed);
-    let report = play(
+    let report = run_script(
         &script,
         &Options {
-            build: defect.map(Defect::build),
+            component_factory: defect.map(Defect::component_factory),
             injected_defect: defect.and_then(Defect::injected_defect),
             ..Options::default()
         },
@@ -81,7 +81,7 @@
         seconds: report.length as f64 / 1e6,
         network_events: report.counts.network_events,
         requests: report.counts.requests,
-        service: report.service(),
+        service: report.service_quality(),
     }
 }
 
--- a/crates/lab/src/shrink.rs
+++ b/crates/lab/src/shrink.rs
@@ -4,7 +4,7 @@
 use argh::FromArgs;
 use pierloom_lab::defects::Defect;
 use pierloom_world::observer::Rule;
-use pierloom_world::run::{Options, play};
+use pierloom_world::run::{Options, run_script};
 use pierloom_world::script::{Fault, Script};
 use std::path::PathBuf;
 
@@ -25,7 +25,7 @@
 
 /// Whether that rule still breaks.
 fn breaks(script: &Script, rule: Rule, options: &Options) -> bool {
-    play(script, options).violations.iter().any(|violation| violation.rule == rule)
+    run_script(script, options).violations.iter().any(|violation| violation.rule == rule)
 }
 
 /// The fewest of these, as far as found, with which `still` holds; it holds with all.
@@ -51,12 +51,12 @@
 /// Shrinks it; whether no rule broke in the first place.
 pub fn run(asked: &Shrink) -> Result<bool, String> {
     let options = Options {
-        build: asked.defect.map(Defect::build),
+        component_factory: asked.defect.map(Defect::component_factory),
         injected_defect: asked.defect.and_then(Defect::injected_defect),
         ..Options::default()
     };
     let mut script = crate::script(&asked.what)?;
-    let report = play(&script, &options);
+    let report = run_script(&script, &options);
     let Some(first) = report.violations.first() else {
         println!("no rule breaks");
         return Ok(true);
--- a/crates/lab/tests/hard_cases.rs
+++ b/crates/lab/tests/hard_cases.rs
@@ -5,7 +5,7 @@
 use common::calm;
 use pierloom_host::Micros;
 use pierloom_world::observer::Trace;
-use pierloom_world::run::{Options, Report, play, single_process};
+use pierloom_world::run::{Options, Report, run_script, single_process};
 use pierloom_world::script::{Fault, Script};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -16,7 +16,7 @@
     (0..orders)
         .map(|order| {
             let script = Script { order, ..script.clone() };
-            let report = play(&script, &Options { trace: Trace::Keep, ..Options::default() });
+            let report = run_script(&script, &Options { trace: Trace::Keep, ..Options::default() });
             assert!(report.violations.is_empty(), "order {order}: {:#?}", report.violations);
             report
         })
--- a/crates/lab/tests/real.rs
+++ b/crates/lab/tests/real.rs
@@ -4,18 +4,18 @@
 
 use common::calm;
 use pierloom_world::real;
-use pierloom_world::run::{Options, play, service};
+use pierloom_world::run::{Options, run_script, service_quality};
 use pierloom_world::script::{Fault, Script};
 
 /// Both give each submitter the same answers, and services that lie as close as that.
 fn agree(script: &Script, within: f64) {
-    let made = play(script, &Options::default());
+    let made = run_script(script, &Options::default());
     assert!(made.violations.is_empty(), "{:#?}", made.violations);
-    let real = real::play(script).unwrap();
+    let real = real::run_script(script).unwrap();
     let answers = |outcomes: &[pierloom_world::client::Outcome]| {
         outcomes.iter().map(|outcome| outcome.answers.clone()).collect::<Vec<_>>()
     };
-    let (virtually, really) = (service(&made.outcomes), service(&real.outcomes));
+    let (virtually, really) = (service_quality(&made.outcomes), service_quality(&real.outcomes));
     println!("service: virtual {virtually:.4}, real {really:.4}");
     assert_eq!(answers(&made.outcomes), answers(&real.outcomes));
     assert!((virtually - really).abs() <= within, "service {virtually:.4} and {really:.4}");
--- a/crates/lab/tests/seeds.rs
+++ b/crates/lab/tests/seeds.rs
@@ -4,7 +4,7 @@
 
 use pierloom_lab::defects::{DEFECTS, FOUND};
 use pierloom_world::generate::generate_script;
-use pierloom_world::run::{Options, play};
+use pierloom_world::run::{Options, run_script};
 use pierloom_world::script::Script;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -46,7 +46,7 @@
         let path = entry.unwrap().path();
         let script = std::fs::read_to_string(&path).unwrap();
         let script = Script::read(path.to_str().unwrap(), &script).unwrap();
-        let report = play(&script, &Options::default());
+        let report = run_script(&script, &Options::default());
         assert!(report.violations.is_empty(), "{}: {:#?}", path.display(), report.violations);
         played += 1;
     }
@@ -59,7 +59,7 @@
         let drawn = generate_script(seed);
         let read = Script::read("printed", &drawn.print()).unwrap();
         assert_eq!(read, drawn);
-        let digest = |script| play(script, &Options::default()).digest;
+        let digest = |script| run_script(script, &Options::default()).digest;
         assert_eq!(digest(&read), digest(&drawn));
     }
 }
@@ -69,11 +69,11 @@
     for (name, defect) in DEFECTS.iter().filter(|(name, _)| FOUND.contains(name)) {
         let found = (0..60).find(|&seed| {
             let options = Options {
-                build: Some(defect.build()),
+                component_factory: Some(defect.component_factory()),
                 injected_defect: defect.injected_defect(),
                 ..Options::default()
             };
-            !play(&generate_script(seed), &options).violations.is_empty()
+            !run_script(&generate_script(seed), &options).violations.is_empty()
         });
         assert!(found.is_some(), "{name} is not found in 60 seeds");
     }
--- a/crates/world/src/backend.rs
+++ b/crates/world/src/backend.rs
@@ -3,7 +3,7 @@
 //!
 //! The model runs on a `Host`, so that it works on the virtual clock and on real sockets.
 
-use crate::lines::{Lines, write};
+use crate::lines::{LineReader, write_all};
 use crate::rng::Rng;
 use crate::script::BackendSpec;
 use pierloom_host::{Host, Micros, TcpListener, TcpStream};
@@ -27,25 +27,29 @@
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStart {
     /// Share of the capacity at the start.
-    pub from: f64,
+    pub min_share: f64,
     /// Duration of slow start.
-    pub time: Micros,
+    pub duration: Micros,
 }
 
 /// Injected degradation of a running backend.
 pub struct Degradation {
     /// Factor by which the backend is slower.
-    pub slow: Cell<f64>,
+    pub slowdown_factor: Cell<f64>,
     /// Share of the capacity that another program takes, in every other second.
-    pub neighbour: Cell<f64>,
+    pub neighbour_share: Cell<f64>,
     /// Delay of the load reports.
-    pub late: Rc<Cell<Micros>>,
+    pub report_delay: Rc<Cell<Micros>>,
 }
 
 impl Degradation {
     /// Returns no degradation, apart from the shared delay of the load reports.
-    pub fn none(late: Rc<Cell<Micros>>) -> Rc<Self> {
-        Rc::new(Degradation { slow: Cell::new(1.0), neighbour: Cell::new(0.0), late })
+    pub fn none(report_delay: Rc<Cell<Micros>>) -> Rc<Self> {
+        Rc::new(Degradation {
+            slowdown_factor: Cell::new(1.0),
+            neighbour_share: Cell::new(0.0),
+            report_delay,
+        })
     }
 }
 
@@ -61,7 +65,7 @@
     host: Host,
     slow_start: SlowStart,
     /// Time of the start, if the backend is subject to slow start.
-    cold_since: Option<Micros>,
+    slow_start_since: Option<Micros>,
     degradation: Rc<Degradation>,
     rng: RefCell<Rng>,
     connections: RefCell<BTreeMap<u64, EstablishedConnection>>,
@@ -76,12 +80,12 @@
 }
 
 impl Backend {
-    /// Creates a backend that has just started; it is subject to slow start if `cold_since` is given.
+    /// Creates a backend that has just started; it is subject to slow start if `slow_start_since` is given.
     pub fn new(
         spec: BackendSpec,
         host: Host,
         slow_start: SlowStart,
-        cold_since: Option<Micros>,
+        slow_start_since: Option<Micros>,
         degradation: Rc<Degradation>,
         rng: Rng,
     ) -> Rc<Self> {
@@ -89,7 +93,7 @@
             spec,
             host,
             slow_start,
-            cold_since,
+            slow_start_since,
             degradation,
             rng: RefCell::new(rng),
             connections: RefCell::default(),
@@ -127,12 +131,12 @@
     /// Returns the share of its full speed that the backend has now.
     fn current_speed_share(&self) -> f64 {
         let now = self.host.now();
-        let age = self.cold_since.map_or(self.slow_start.time, |since| now.saturating_sub(since));
-        let ramp_progress = (age as f64 / self.slow_start.time as f64).min(1.0);
-        let slow_start_share = self.slow_start.from + (1.0 - self.slow_start.from) * ramp_progress;
+        let age = self.slow_start_since.map_or(self.slow_start.duration, |since| now.saturating_sub(since));
+        let ramp_progress = (age as f64 / self.slow_start.duration as f64).min(1.0);
+        let slow_start_share = self.slow_start.min_share + (1.0 - self.slow_start.min_share) * ramp_progress;
         let neighbour_active = (now / 1_000_000).is_multiple_of(2);
-        let neighbour_share = if neighbour_active { self.degradation.neighbour.get() } else { 0.0 };
-        slow_start_share * (1.0 - neighbour_share) / self.degradation.slow.get()
+        let neighbour_share = if neighbour_active { self.degradation.neighbour_share.get() } else { 0.0 };
+        slow_start_share * (1.0 - neighbour_share) / self.degradation.slowdown_factor.get()
     }
 
     /// Returns the load of all connections and groups as a share of the current capacity.
@@ -169,7 +173,7 @@
                 format!("x0={utilization:.4},latency_ms={work:.2},eps=0,util={:.3}", utilization.min(1.0));
             reports.push((now, text));
         }
-        let visible_until = now.saturating_sub(self.degradation.late.get());
+        let visible_until = now.saturating_sub(self.degradation.report_delay.get());
         let newest_visible = reports.iter().rposition(|(at, _)| *at <= visible_until).unwrap_or(0);
         reports.drain(..newest_visible);
         reports[0].1.clone()
@@ -177,8 +181,8 @@
 
     /// Answers probes, and handles the first request on a connection.
     async fn handle_connection(self: Rc<Self>, stream: TcpStream) {
-        let mut lines = Lines::new(stream);
-        while let Some(line) = lines.next().await {
+        let mut lines = LineReader::new(stream);
+        while let Some(line) = lines.next_line().await {
             let answer = match line.as_str() {
                 "PING" => "PONG\r\n".to_string(),
                 "STATS" => format!("PONG {}\r\n", self.load_report()),
@@ -187,21 +191,21 @@
                     None => "ERR\r\n".to_string(),
                 },
             };
-            if write(&lines.stream, answer.as_bytes()).await.is_err() {
+            if write_all(&lines.stream, answer.as_bytes()).await.is_err() {
                 return;
             }
         }
     }
 
     /// Sets up a connection and serves it, or refuses the request.
-    async fn handle_request(self: Rc<Self>, mut lines: Lines, group: String, timeout: Micros) {
+    async fn handle_request(self: Rc<Self>, mut lines: LineReader, group: String, timeout: Micros) {
         let now = self.host.now();
         let at_capacity = self.setups_in_progress.get() >= self.spec.queue
             || self.connections.borrow().len() >= self.spec.cap;
         if at_capacity || self.draining.get() {
             let text = format!("BUSY {}\r\n", self.load_report());
             // A client that has left meanwhile needs no answer.
-            let _ = write(&lines.stream, text.as_bytes()).await;
+            let _ = write_all(&lines.stream, text.as_bytes()).await;
             return;
         }
         let work = self.spec.setup_ms * 1e3
@@ -214,21 +218,21 @@
         self.host.sleep_until(ready).await;
         self.setups_in_progress.set(self.setups_in_progress.get() - 1);
         if self.host.now() > now + timeout || self.draining.get() {
-            let _ = write(&lines.stream, b"BUSY\r\n").await;
+            let _ = write_all(&lines.stream, b"BUSY\r\n").await;
             return;
         }
         let connection_id = self.next_connection_id.replace(self.next_connection_id.get() + 1);
         let load = 0.4 + 1.2 * self.rng.borrow_mut().random::<f64>();
         self.connections.borrow_mut().insert(connection_id, EstablishedConnection { load, group });
         let slot = ConnectionSlot { backend: self.clone(), connection_id };
-        if write(&lines.stream, format!("UP r{connection_id}\r\n").as_bytes()).await.is_ok() {
+        if write_all(&lines.stream, format!("UP r{connection_id}\r\n").as_bytes()).await.is_ok() {
             self.serve_lines(&mut lines, connection_id).await;
         }
         drop(slot);
     }
 
     /// Answers each line after its delay, reports changes of the load, and sends MOVE on a drain.
-    async fn serve_lines(&self, lines: &mut Lines, connection_id: u64) {
+    async fn serve_lines(&self, lines: &mut LineReader, connection_id: u64) {
         let stream = lines.stream.clone();
         let mut next_load_change_at = self.host.now()
             + self.rng.borrow_mut().random_range(LOAD_CHANGE_INTERVAL_US / 4..LOAD_CHANGE_INTERVAL_US);
@@ -236,13 +240,13 @@
         loop {
             tokio::select! {
                 biased;
-                line = lines.next() => {
+                line = lines.next_line() => {
                     if line.is_none() {
                         return;
                     }
                     self.host.sleep_until(self.host.now() + self.message_delay()).await;
                     message_count += 1;
-                    if write(&stream, format!("NEWS {connection_id}-{message_count}\r\n").as_bytes())
+                    if write_all(&stream, format!("NEWS {connection_id}-{message_count}\r\n").as_bytes())
                         .await
                         .is_err()
                     {
@@ -260,7 +264,7 @@
                             .borrow_mut()
                             .random_range(LOAD_CHANGE_INTERVAL_US / 4..LOAD_CHANGE_INTERVAL_US);
                     let text = format!("LOAD {:.0}\r\n", load * MEAN_LOAD_US);
-                    if write(&stream, text.as_bytes()).await.is_err() {
+                    if write_all(&stream, text.as_bytes()).await.is_err() {
                         return;
                     }
                 }
@@ -268,7 +272,7 @@
                     // Spreads the moves over a short time; the end of the connection follows the MOVE.
                     let wait = self.rng.borrow_mut().random_range(0..800_000);
                     self.host.sleep_until(self.host.now() + wait).await;
-                    let _ = write(&stream, b"MOVE\r\n").await;
+                    let _ = write_all(&stream, b"MOVE\r\n").await;
                     return;
                 }
             }
--- a/crates/world/src/client.rs
+++ b/crates/world/src/client.rs
@@ -3,7 +3,7 @@
 //! A well-behaved client sends a line every two seconds and reconnects after a disconnection or a MOVE. A
 //! misbehaving client breaks the protocol.
 
-use crate::lines::{Lines, within, write};
+use crate::lines::{LineReader, with_deadline, write_all};
 use crate::rng::Rng;
 use crate::script::{ClientSpec, Misbehavior};
 use pierloom_host::{Host, Micros};
@@ -57,9 +57,11 @@
     /// Number of disconnections without MOVE.
     pub cut: u32,
     /// Time for which the client wanted a connection.
-    pub wanted: Micros,
+    #[serde(rename = "wanted")]
+    pub wanted_time: Micros,
     /// Time for which the client had an established connection.
-    pub stood: Micros,
+    #[serde(rename = "stood")]
+    pub connected_time: Micros,
     /// Number of lines sent.
     pub lines: u32,
     /// Number of lines answered.
@@ -83,11 +85,11 @@
     /// Longest time to wait for an answer, in milliseconds.
     pub deadline_ms: u64,
     /// Target for the time between a line and its answer.
-    pub aim: Micros,
+    pub message_target: Micros,
     /// Results so far.
     pub outcome: RefCell<Outcome>,
     /// Number of attempts so far.
-    pub tries: Cell<u32>,
+    pub attempt_count: Cell<u32>,
 }
 
 /// Result of one connection.
@@ -110,9 +112,9 @@
     }
 
     /// Runs the client until the end of its life.
-    pub async fn live(self: Rc<Self>) {
-        if let Some(bad) = self.spec.bad {
-            return self.misbehave(bad).await;
+    pub async fn run(self: Rc<Self>) {
+        if let Some(misbehavior) = self.spec.bad {
+            return self.misbehave(misbehavior).await;
         }
         let started_at = self.host.now();
         let life_end = started_at + self.spec.life_ms * 1_000;
@@ -146,7 +148,7 @@
             };
             self.host.sleep_until(self.host.now() + pause).await;
         }
-        self.outcome.borrow_mut().wanted = self.host.now().min(life_end) - started_at;
+        self.outcome.borrow_mut().wanted_time = self.host.now().min(life_end) - started_at;
     }
 
     /// Connects, sends one request, and keeps the connection if the request is served.
@@ -154,11 +156,12 @@
         let proxy = self.proxy_selector.pick(self.spec.zone, &mut self.rng.borrow_mut());
         let Some(proxy) = proxy else { return AttemptOutcome::Failed };
         let timeout = self.deadline_ms * 1_000;
-        let connected = within(&self.host, self.host.now() + timeout, self.host.connect(proxy)).await;
+        let connected = with_deadline(&self.host, self.host.now() + timeout, self.host.connect(proxy)).await;
         let Some(Ok(stream)) = connected else { return AttemptOutcome::Failed };
-        let mut lines = Lines::new(stream);
-        let tries = self.tries.replace(self.tries.get() + 1);
-        let (id, key, group) = (format!("{:06x}{tries:02x}", self.index), self.spec.key, self.spec.group);
+        let mut lines = LineReader::new(stream);
+        let attempt_count = self.attempt_count.replace(self.attempt_count.get() + 1);
+        let (id, key, group) =
+            (format!("{:06x}{attempt_count:02x}", self.index), self.spec.key, self.spec.group);
         let again = if reconnecting { ",again=1" } else { "" };
         let retry = if is_retry { ",r=1" } else { "" };
         let request_line = format!(
@@ -166,13 +169,13 @@
             self.deadline_ms
         );
         let stream = lines.stream.clone();
-        if write(&stream, request_line.as_bytes()).await.is_err() {
+        if write_all(&stream, request_line.as_bytes()).await.is_err() {
             return AttemptOutcome::Failed;
         }
         let sent_at = self.host.now();
-        let leaves_at = self.spec.leaves_ms.map(|ms| sent_at + ms * 1_000);
-        let answer_by = leaves_at.unwrap_or(sent_at + timeout).min(sent_at + timeout);
-        let answer = within(&self.host, answer_by, lines.next()).await;
+        let leave_at = self.spec.leaves_ms.map(|ms| sent_at + ms * 1_000);
+        let answer_by = leave_at.unwrap_or(sent_at + timeout).min(sent_at + timeout);
+        let answer = with_deadline(&self.host, answer_by, lines.next_line()).await;
         let classify = |answer: &Option<Option<String>>| match answer {
             Some(Some(line)) if line.starts_with("UP ") => 'U',
             Some(Some(line)) if line.starts_with("BUSY") => 'B',
@@ -188,7 +191,7 @@
                 let retry_after_ms = line.split(' ').nth(1).and_then(|ms| ms.parse::<u64>().ok());
                 return AttemptOutcome::Busy(retry_after_ms.map(|ms| ms * 1_000));
             }
-            _ if leaves_at.is_some() => {
+            _ if leave_at.is_some() => {
                 if self.spec.resets {
                     stream.reset_on_close();
                 }
@@ -198,15 +201,15 @@
         }
         let established_at = self.host.now();
         let outcome = self.run_established(&mut lines, life_end).await;
-        self.outcome.borrow_mut().stood += self.host.now() - established_at;
+        self.outcome.borrow_mut().connected_time += self.host.now() - established_at;
         outcome
     }
 
     /// Sends a line every two seconds on an established connection, until the end of the client's life or of
     /// the connection.
-    async fn run_established(&self, lines: &mut Lines, life_end: Micros) -> AttemptOutcome {
+    async fn run_established(&self, lines: &mut LineReader, life_end: Micros) -> AttemptOutcome {
         let stream = lines.stream.clone();
-        let mut next_line = self.host.now() + self.random_delay(0..LINE_INTERVAL_US);
+        let mut next_line_at = self.host.now() + self.random_delay(0..LINE_INTERVAL_US);
         let mut sent_times = std::collections::VecDeque::new();
         let mut moved = false;
         let mut read_at = self.host.now();
@@ -216,7 +219,7 @@
                 if pause > 0 {
                     self.host.sleep_until(read_at).await;
                 }
-                lines.next().await
+                lines.next_line().await
             };
             tokio::select! {
                 biased;
@@ -230,20 +233,20 @@
                             let mut outcome = self.outcome.borrow_mut();
                             outcome.answered += 1;
                             if let Some(since) = sent_times.pop_front() {
-                                outcome.in_time += u32::from(self.host.now() - since <= self.aim);
+                                outcome.in_time += u32::from(self.host.now() - since <= self.message_target);
                             }
                         }
                         Some(_) => {}
                     }
                 }
-                () = self.host.sleep_until(next_line.min(life_end)) => {
+                () = self.host.sleep_until(next_line_at.min(life_end)) => {
                     if self.host.now() >= life_end {
                         break;
                     }
-                    next_line = self.host.now() + LINE_INTERVAL_US;
+                    next_line_at = self.host.now() + LINE_INTERVAL_US;
                     sent_times.push_back(self.host.now());
                     self.outcome.borrow_mut().lines += 1;
-                    if write(&stream, b"SEEN\r\n").await.is_err() {
+                    if write_all(&stream, b"SEEN\r\n").await.is_err() {
                         return if moved { AttemptOutcome::Moved } else { AttemptOutcome::Disconnected };
                     }
                 }
@@ -252,20 +255,20 @@
         if self.spec.resets {
             stream.reset_on_close();
         } else if stream.finish().is_ok() {
-            let discard = async { while lines.next().await.is_some() {} };
-            within(&self.host, self.host.now() + CLOSE_TIMEOUT_US, discard).await;
+            let discard = async { while lines.next_line().await.is_some() {} };
+            with_deadline(&self.host, self.host.now() + CLOSE_TIMEOUT_US, discard).await;
         }
         AttemptOutcome::Completed
     }
 
     /// Breaks the protocol, and reads everything that the proxy sends.
-    async fn misbehave(&self, bad: Misbehavior) {
+    async fn misbehave(&self, misbehavior: Misbehavior) {
         let proxy = self.proxy_selector.pick(self.spec.zone, &mut self.rng.borrow_mut());
         let Some(proxy) = proxy else { return };
         let Ok(stream) = self.host.connect(proxy).await else { return };
-        let mut lines = Lines::new(stream);
+        let mut lines = LineReader::new(stream);
         let stream = lines.stream.clone();
-        let bytes: Vec<u8> = match bad {
+        let bytes: Vec<u8> = match misbehavior {
             Misbehavior::Silent => Vec::new(),
             Misbehavior::Garbage => (0..400).map(|_| self.rng.borrow_mut().random()).collect(),
             Misbehavior::NoEnd => vec![b'a'; 6_000],
@@ -282,12 +285,12 @@
         };
         // The proxy may close the connection before all bytes are written.
         let send = async {
-            if write(&stream, &bytes).await.is_ok() && bad == Misbehavior::Half {
+            if write_all(&stream, &bytes).await.is_ok() && misbehavior == Misbehavior::Half {
                 let _ = stream.finish();
             }
             std::future::pending::<()>().await;
         };
-        let receive = async { while lines.next().await.is_some() {} };
+        let receive = async { while lines.next_line().await.is_some() {} };
         tokio::select! {
             biased;
             () = receive => {}
--- a/crates/world/src/discovery.rs
+++ b/crates/world/src/discovery.rs
@@ -2,7 +2,7 @@
 //!
 //! The service reports the state of backends as published to it, with a delay.
 
-use crate::lines::{Lines, write};
+use crate::lines::{LineReader, write_all};
 use pierloom_host::{Host, Micros, TcpListener, TcpStream};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -17,7 +17,7 @@
 
 /// One backend in the endpoint list.
 #[derive(Clone, Debug)]
-pub struct Entry {
+pub struct EndpointEntry {
     /// Name of the backend.
     pub name: String,
     /// Address of the backend.
@@ -32,7 +32,7 @@
     pub since_ms: u64,
 }
 
-impl Entry {
+impl EndpointEntry {
     fn json(&self) -> String {
         format!(
             r#"{{"name":"{}","address":"{}","zone":"{}","type":"m","group":0,"status":"{}","weight":{},"since_ms":{}}}"#,
@@ -43,8 +43,8 @@
 
 /// The endpoint list and its history. The store outlives the process of the service.
 pub struct EndpointStore {
-    entries: RefCell<Vec<Entry>>,
-    history: RefCell<Vec<(u64, Entry)>>,
+    entries: RefCell<Vec<EndpointEntry>>,
+    history: RefCell<Vec<(u64, EndpointEntry)>>,
     /// Version of the list.
     index: Cell<u64>,
     /// Notified at each change. `Notify` wakes waiting calls in order; a watch channel has an order of its
@@ -53,27 +53,27 @@
     /// Calls fail with status 503.
     pub failing: Cell<bool>,
     /// Extra time that each call takes.
-    pub late: Cell<Micros>,
+    pub response_delay: Cell<Micros>,
     /// Time at which all accepted calls are done.
     queue_free_at: Cell<Micros>,
 }
 
 impl EndpointStore {
     /// Creates a store with version 1 of the list.
-    pub fn new(entries: Vec<Entry>) -> Rc<Self> {
+    pub fn new(entries: Vec<EndpointEntry>) -> Rc<Self> {
         Rc::new(EndpointStore {
             entries: RefCell::new(entries),
             history: RefCell::default(),
             index: Cell::new(1),
             changed: Notify::new(),
             failing: Cell::new(false),
-            late: Cell::new(0),
+            response_delay: Cell::new(0),
             queue_free_at: Cell::new(0),
         })
     }
 
     /// Records a change and notifies the waiting calls.
-    pub fn publish(&self, entry: Entry) {
+    pub fn publish(&self, entry: EndpointEntry) {
         let index = self.index.get() + 1;
         {
             let mut entries = self.entries.borrow_mut();
@@ -89,7 +89,7 @@
 
     /// Returns the complete list as JSON.
     pub fn snapshot(&self) -> String {
-        let entries: Vec<String> = self.entries.borrow().iter().map(Entry::json).collect();
+        let entries: Vec<String> = self.entries.borrow().iter().map(EndpointEntry::json).collect();
         format!(r#"{{"index":{},"snapshot":true,"endpoints":[{}]}}"#, self.index.get(), entries.join(","))
     }
 
@@ -103,7 +103,7 @@
 }
 
 /// The discovery service at one address.
-pub struct Service {
+pub struct DiscoveryService {
     endpoint_store: Rc<EndpointStore>,
     host: Host,
     moved: Notify,
@@ -111,10 +111,10 @@
     closed: Cell<bool>,
 }
 
-impl Service {
+impl DiscoveryService {
     /// Creates a service that serves the list of a store.
     pub fn new(endpoint_store: Rc<EndpointStore>, host: Host) -> Rc<Self> {
-        Rc::new(Service { endpoint_store, host, moved: Notify::new(), closed: Cell::new(false) })
+        Rc::new(DiscoveryService { endpoint_store, host, moved: Notify::new(), closed: Cell::new(false) })
     }
 
     /// Stops accepting connections, and closes the open ones after a delay.
@@ -152,15 +152,15 @@
     }
 
     async fn serve_calls(&self, stream: TcpStream) {
-        let mut lines = Lines::new(stream);
-        while let Some(request) = lines.next().await {
-            while lines.next().await.is_some_and(|header| !header.is_empty()) {}
+        let mut lines = LineReader::new(stream);
+        while let Some(request) = lines.next_line().await {
+            while lines.next_line().await.is_some_and(|header| !header.is_empty()) {}
             let body = self.response_body(&request).await;
             let text = match body {
                 Some(body) => format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()),
                 None => "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".into(),
             };
-            if write(&lines.stream, text.as_bytes()).await.is_err() {
+            if write_all(&lines.stream, text.as_bytes()).await.is_err() {
                 return;
             }
         }
@@ -177,7 +177,7 @@
         if start_at > now + MAX_QUEUE_TIME_US {
             return None;
         }
-        let done_at = start_at + CALL_DURATION_US + self.endpoint_store.late.get();
+        let done_at = start_at + CALL_DURATION_US + self.endpoint_store.response_delay.get();
         self.endpoint_store.queue_free_at.set(done_at);
         self.host.sleep_until(done_at).await;
         if self.endpoint_store.failing.get() {
--- a/crates/world/src/lines.rs
+++ b/crates/world/src/lines.rs
@@ -5,22 +5,22 @@
 use std::rc::Rc;
 
 /// Reads a connection line by line; keeps the bytes beyond the last complete line.
-pub struct Lines {
+pub struct LineReader {
     /// The connection.
     pub stream: Rc<TcpStream>,
     buffer: Vec<u8>,
 }
 
-impl Lines {
+impl LineReader {
     /// Creates a reader of a connection from which nothing has been read.
     pub fn new(stream: TcpStream) -> Self {
-        Lines { stream: Rc::new(stream), buffer: Vec::new() }
+        LineReader { stream: Rc::new(stream), buffer: Vec::new() }
     }
 
     /// Returns the next line without its line ending, or `None` at the end of the connection.
     ///
     /// The future is cancel safe: no bytes are lost if it is dropped early.
-    pub async fn next(&mut self) -> Option<String> {
+    pub async fn next_line(&mut self) -> Option<String> {
         loop {
             if let Some(line_end) = self.buffer.iter().position(|&byte| byte == b'\n') {
                 let line: Vec<u8> = self.buffer.drain(..=line_end).collect();
@@ -39,7 +39,7 @@
 }
 
 /// Writes all bytes.
-pub async fn write(stream: &TcpStream, mut bytes: &[u8]) -> io::Result<()> {
+pub async fn write_all(stream: &TcpStream, mut bytes: &[u8]) -> io::Result<()> {
     while !bytes.is_empty() {
         stream.writable().await;
         match stream.try_write(bytes) {
@@ -52,7 +52,7 @@
 }
 
 /// Returns the value of the future, or `None` if the deadline `until` comes first.
-pub async fn within<T>(host: &Host, until: Micros, future: impl Future<Output = T>) -> Option<T> {
+pub async fn with_deadline<T>(host: &Host, until: Micros, future: impl Future<Output = T>) -> Option<T> {
     tokio::select! {
         biased;
         value = future => Some(value),
--- a/crates/world/src/observer.rs
+++ b/crates/world/src/observer.rs
@@ -65,9 +65,9 @@
         /// Index in the script.
         index: usize,
         /// The client breaks the protocol and must receive an error or a close.
-        bad: bool,
+        misbehaving: bool,
         /// The client reads with pauses, so that lines to the client may be delayed.
-        slow: bool,
+        slow_reader: bool,
     },
     /// The discovery service.
     Discovery,
@@ -334,24 +334,24 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BackendState {
     /// The backend runs and is reachable.
-    pub answers: bool,
+    pub reachable: bool,
     /// Time of the start, if the backend started with slow start.
-    pub cold_since: Option<Micros>,
+    pub slow_start_since: Option<Micros>,
     /// New connections per second whose load reaches the backend's capacity after slow start.
-    pub rate: f64,
+    pub connections_per_second: f64,
 }
 
 /// Parameters of the rule on backends in slow start (`Rule::ColdOverrun`).
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStartRule {
     /// Share of the capacity at the start.
-    pub from: f64,
+    pub min_share: f64,
     /// Duration of slow start.
-    pub warm: Micros,
+    pub duration: Micros,
     /// A backend overloads beyond this multiple of its current capacity...
-    pub multiple: f64,
+    pub overload_multiple: f64,
     /// ...over this time.
-    pub fall: Micros,
+    pub overload_window: Micros,
 }
 
 /// Observed state of a backend.
@@ -426,8 +426,8 @@
     }
 
     /// Sets the true state of a backend from now on.
-    pub fn backend(&mut self, index: usize, state: BackendState) {
-        if state.cold_since != self.backends[index].state.cold_since {
+    pub fn set_backend_state(&mut self, index: usize, state: BackendState) {
+        if state.slow_start_since != self.backends[index].state.slow_start_since {
             self.backends[index].recent_requests.clear();
         }
         self.backends[index].state = state;
@@ -479,7 +479,7 @@
             }
             let attempt = client.attempt.and_then(|attempt| self.attempt(attempt));
             let backend_ended = attempt.is_some_and(|attempt| {
-                attempt.backend_ended_at.is_some() || !self.backends[attempt.backend].state.answers
+                attempt.backend_ended_at.is_some() || !self.backends[attempt.backend].state.reachable
             });
             if client.established && !client.moved && !backend_ended {
                 self.record_violation(
@@ -633,11 +633,11 @@
         self.now = now;
         self.counts.connections += 1;
         let kind = match (self.roles[from].0, self.roles[to].0) {
-            (Role::Client { bad, slow, .. }, Role::Proxy(proxy)) => {
+            (Role::Client { misbehaving, slow_reader, .. }, Role::Proxy(proxy)) => {
                 ConnectionKind::Client(ClientConnection {
                     proxy,
-                    misbehaving: bad,
-                    slow_reader: slow,
+                    misbehaving,
+                    slow_reader,
                     opened_at: now,
                     ..ClientConnection::default()
                 })
@@ -913,7 +913,7 @@
             let backend_ended = attempt.is_none_or(|attempt| {
                 attempt.backend_ended_at.is_some()
                     || attempt.end_announced
-                    || !self.backends[attempt.backend].state.answers
+                    || !self.backends[attempt.backend].state.reachable
             });
             if !backend_ended {
                 self.record_violation(Rule::Cut, Some(connection), "cut off without MOVE".into());
@@ -1078,22 +1078,25 @@
             return;
         }
         let (proxy, backend) = (attempt.proxy, attempt.backend);
-        let Some(since) = self.backends[backend].state.cold_since else { return };
+        let Some(since) = self.backends[backend].state.slow_start_since else { return };
         let rule = self.slow_start_rule;
         let age = now.saturating_sub(since);
-        if age >= rule.warm {
+        if age >= rule.duration {
             return;
         }
         let start_reported =
             self.proxies[proxy].reported_starts.get(&backend).is_some_and(|&start| start >= since);
         let recent_requests = &mut self.backends[backend].recent_requests;
         recent_requests.push_back((now, start_reported));
-        while recent_requests.front().is_some_and(|(at, _)| at + rule.fall < now) {
+        while recent_requests.front().is_some_and(|(at, _)| at + rule.overload_window < now) {
             recent_requests.pop_front();
         }
-        let capacity_share = rule.from + (1.0 - rule.from) * age as f64 / rule.warm as f64;
-        let budget =
-            rule.multiple * self.backends[backend].state.rate * capacity_share * rule.fall as f64 / 1e6;
+        let capacity_share = rule.min_share + (1.0 - rule.min_share) * age as f64 / rule.duration as f64;
+        let budget = rule.overload_multiple
+            * self.backends[backend].state.connections_per_second
+            * capacity_share
+            * rule.overload_window as f64
+            / 1e6;
         let count = self.backends[backend].recent_requests.len();
         let informed_count = self.backends[backend]
             .recent_requests
@@ -1275,7 +1278,7 @@
                             .oldest_line_at()
                             .is_some_and(|at| now > at + MAX_LINE_DELAY_US + GRACE_US);
                         let backend_answers =
-                            attempt.is_some_and(|attempt| backends[attempt.backend].state.answers);
+                            attempt.is_some_and(|attempt| backends[attempt.backend].state.reachable);
                         if client.established && line_overdue && backend_answers && backend_ended_at.is_none()
                         {
                             found.push((Rule::HeldBack, connection, "a line from the client is held back"));
@@ -1329,7 +1332,7 @@
     }
 
     /// Returns the number of connections that a proxy still holds although their clients have ended them.
-    pub fn still_held(&self, proxy: usize) -> usize {
+    pub fn unclosed_connections(&self, proxy: usize) -> usize {
         let is_held = |connection: &&usize| match &self.connections[**connection].kind {
             ConnectionKind::Client(client) => {
                 client.proxy == proxy && client.proxy_ended_at.is_none() && client.client_ended_at.is_some()
--- a/crates/world/src/real.rs
+++ b/crates/world/src/real.rs
@@ -5,7 +5,7 @@
 
 use crate::backend::{Backend, Degradation, SlowStart};
 use crate::client::{Client, Outcome, ProxySelector};
-use crate::discovery::{EndpointStore, Entry, Service};
+use crate::discovery::{DiscoveryService, EndpointEntry, EndpointStore};
 use crate::rng::stream;
 use crate::run::{config_text, entry};
 use crate::script::{Fault, Script};
@@ -117,7 +117,7 @@
 
 /// Runs a script in real time. Supports the faults `Crash`, `Drain`, `Slow` and `LateReports`, and returns a
 /// one-line error for any other.
-pub fn play(script: &Script) -> Result<RealReport, String> {
+pub fn run_script(script: &Script) -> Result<RealReport, String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| e.to_string())?;
     LocalSet::new().block_on(&runtime, run(script))
@@ -135,7 +135,7 @@
     let (host, _discovery) = process("");
     let listener = host.listen(free_address(&host)?, 64, false).map_err(|e| e.to_string())?;
     let discovery = listener.address();
-    host.spawn(Service::new(endpoint_store.clone(), host.clone()).serve(listener));
+    host.spawn(DiscoveryService::new(endpoint_store.clone(), host.clone()).serve(listener));
     let degradations: Vec<_> =
         script.backends.iter().map(|_| Degradation::none(load_report_delay.clone())).collect();
     let start_backend = {
@@ -143,7 +143,7 @@
         move |index: usize, since: Option<Micros>| -> Option<(KillHandle, Rc<Backend>)> {
             let (host, kill) = process("");
             let slow_start =
-                SlowStart { from: script.contract.cold_from, time: script.contract.cold_ms * 1_000 };
+                SlowStart { min_share: script.contract.cold_from, duration: script.contract.cold_ms * 1_000 };
             let rng = stream(
                 script.order,
                 &format!("{} {}", script.backends[index].name, u64::from(since.is_some())),
@@ -239,8 +239,8 @@
                     degradations[backend_index(&backend)].clone(),
                     degradations[backend_index(&backend)].clone(),
                 );
-                schedule(at_ms, Box::new(move || at_start.slow.set(factor)));
-                schedule(until_ms, Box::new(move || at_end.slow.set(1.0)));
+                schedule(at_ms, Box::new(move || at_start.slowdown_factor.set(factor)));
+                schedule(until_ms, Box::new(move || at_end.slowdown_factor.set(1.0)));
             }
             Fault::LateReports { at_ms, until_ms, by_ms } => {
                 let (at_start, at_end) = (load_report_delay.clone(), load_report_delay.clone());
@@ -260,15 +260,15 @@
             proxy_selector: proxy_selector.clone(),
             rng: RefCell::new(stream(script.order, &format!("submitter {}", spec.key))),
             deadline_ms: script.contract.deadline_ms,
-            aim: script.contract.message_ms * 1_000,
+            message_target: script.contract.message_ms * 1_000,
             outcome: RefCell::default(),
-            tries: Cell::new(0),
+            attempt_count: Cell::new(0),
         });
         clients.push(client.clone());
         let host = os_host.clone();
         client_tasks.push(os_host.spawn(async move {
             host.sleep_until(start_time + client.spec.at_ms * 1_000).await;
-            client.live().await;
+            client.run().await;
         }));
     }
     for task in client_tasks {
@@ -309,7 +309,7 @@
         Box::new(move || {
             let now = host.now();
             *backends[index].borrow_mut() = start_backend(index, Some(now));
-            let ready: Entry = entry(&script, index, address, "ready", Some(now));
+            let ready: EndpointEntry = entry(&script, index, address, "ready", Some(now));
             let timer_host = host.clone();
             host.spawn(async move {
                 timer_host.sleep_until(now + RESTART_REPORT_DELAY_US).await;
--- a/crates/world/src/run.rs
+++ b/crates/world/src/run.rs
@@ -3,8 +3,8 @@
 
 use crate::backend::{Backend, Degradation, SlowStart, capacity};
 use crate::client::{Client, Outcome, ProxySelector};
-use crate::discovery::{EndpointStore, Entry, Service};
-use crate::lines::{Lines, within, write};
+use crate::discovery::{DiscoveryService, EndpointEntry, EndpointStore};
+use crate::lines::{LineReader, with_deadline, write_all};
 use crate::net::{InjectedDefect, LinkConditions, Net, ProcessOptions};
 use crate::observer::{BackendState, Counts, Observer, Role, Rule, SlowStartRule, Trace, Violation};
 use crate::rng::{Rng, stream};
@@ -57,7 +57,8 @@
     /// Counts of connections, requests and events.
     pub counts: Counts,
     /// Numbers of task polls and of events.
-    pub work: (u64, u64),
+    #[serde(rename = "work")]
+    pub task_counts: (u64, u64),
     /// Outcome of each client, in the order of the script.
     pub outcomes: Vec<Outcome>,
     /// Virtual length of the run; microseconds.
@@ -68,19 +69,19 @@
 }
 
 impl Report {
-    /// Quality of service for well-behaved clients; see `service`.
-    pub fn service(&self) -> f64 {
-        service(&self.outcomes)
+    /// Quality of service for well-behaved clients; see `service_quality`.
+    pub fn service_quality(&self) -> f64 {
+        service_quality(&self.outcomes)
     }
 }
 
 /// Quality of service for well-behaved clients: the share of their wanted connection time in which they were
 /// served, times the share of their lines that were answered in time.
-pub fn service(outcomes: &[Outcome]) -> f64 {
+pub fn service_quality(outcomes: &[Outcome]) -> f64 {
     let sum = |value: fn(&Outcome) -> f64| outcomes.iter().map(value).sum::<f64>();
-    let (stood, wanted) = (sum(|o| o.stood as f64), sum(|o| o.wanted as f64));
+    let (connected_time, wanted_time) = (sum(|o| o.connected_time as f64), sum(|o| o.wanted_time as f64));
     let (in_time, lines) = (sum(|o| f64::from(o.in_time)), sum(|o| f64::from(o.lines)));
-    if wanted == 0.0 || lines == 0.0 { 0.0 } else { stood / wanted * in_time / lines }
+    if wanted_time == 0.0 || lines == 0.0 { 0.0 } else { connected_time / wanted_time * in_time / lines }
 }
 
 /// Options of a run.
@@ -89,7 +90,7 @@
     /// What happens to the trace of network events.
     pub trace: Trace,
     /// Builds the proxies' components; `Components::from_config` if `None`.
-    pub build: Option<ComponentFactory>,
+    pub component_factory: Option<ComponentFactory>,
     /// Defect injected into the proxies' sockets and timers.
     pub injected_defect: Option<InjectedDefect>,
 }
@@ -99,7 +100,7 @@
     script: Script,
     sim: Rc<Sim>,
     endpoint_store: Rc<EndpointStore>,
-    service: RefCell<Option<Rc<Service>>>,
+    service: RefCell<Option<Rc<DiscoveryService>>>,
     discovery: Cell<ProcessId>,
     /// Index of discovery's current address; each reload moves discovery to the next one.
     discovery_index: Cell<u8>,
@@ -137,9 +138,9 @@
     address: SocketAddr,
     status: &'static str,
     since: Option<Micros>,
-) -> Entry {
+) -> EndpointEntry {
     let spec = &script.backends[index];
-    Entry {
+    EndpointEntry {
         name: spec.name.clone(),
         address: address.to_string(),
         zone: ZONE_NAMES[spec.zone].into(),
@@ -180,7 +181,7 @@
 }
 
 /// Runs a script to its end.
-pub fn play(script: &Script, options: &Options) -> Report {
+pub fn run_script(script: &Script, options: &Options) -> Report {
     let links = LinkConditions {
         same_zone_delay: script.links.same_us,
         cross_zone_delay: script.links.cross_us,
@@ -191,15 +192,15 @@
     };
     let contract = &script.contract;
     let slow_start_rule = SlowStartRule {
-        from: contract.cold_from,
-        warm: contract.cold_ms * 1_000,
-        multiple: contract.fall_multiple,
-        fall: contract.fall_ms * 1_000,
+        min_share: contract.cold_from,
+        duration: contract.cold_ms * 1_000,
+        overload_multiple: contract.fall_multiple,
+        overload_window: contract.fall_ms * 1_000,
     };
     let names: Vec<String> = script.backends.iter().map(|backend| backend.name.clone()).collect();
     let observer = Observer::new(script.proxies.len(), &names, slow_start_rule, options.trace);
     let sim = Sim::new(script.order, Net::new(links, stream(script.order, "links")), observer);
-    let entries = script.backends.iter().enumerate().map(|(i, backend)| Entry {
+    let entries = script.backends.iter().enumerate().map(|(i, backend)| EndpointEntry {
         name: backend.name.clone(),
         address: backend_address(i).to_string(),
         zone: ZONE_NAMES[backend.zone].into(),
@@ -221,7 +222,10 @@
         backend_states: RefCell::new(vec![BackendState::default(); names.len()]),
         proxy_selector: Rc::default(),
         rng: RefCell::new(stream(script.order, "director")),
-        component_factory: options.build.clone().unwrap_or_else(|| Rc::new(Components::from_config)),
+        component_factory: options
+            .component_factory
+            .clone()
+            .unwrap_or_else(|| Rc::new(Components::from_config)),
         injected_defect: options.injected_defect,
         proxy_starts: Cell::new(0),
         ended: RefCell::new(vec![false; script.proxies.len()]),
@@ -269,7 +273,7 @@
             violations: observer.violations.clone(),
             digest: observer.digest(),
             counts: observer.counts,
-            work: sim.work(),
+            task_counts: sim.work(),
             outcomes: clients.iter().map(|client| client.outcome.borrow().clone()).collect(),
             length: sim.now() - EPOCH,
             trace_lines: observer.trace_lines.clone(),
@@ -303,23 +307,24 @@
         let (id, host) = self.sim.start(ProcessOptions::plain("discovery", 0, address.ip()));
         self.sim.observer.borrow_mut().register_process(id, Role::Discovery, "discovery");
         self.discovery.set(id);
-        let service = Service::new(self.endpoint_store.clone(), host.clone());
+        let service = DiscoveryService::new(self.endpoint_store.clone(), host.clone());
         *self.service.borrow_mut() = Some(service.clone());
         if let Ok(listener) = host.listen(address, 64, false) {
             host.spawn(service.serve(listener));
         }
     }
 
-    fn start_backend(self: &Rc<Self>, index: usize, cold_since: Option<Micros>) {
+    fn start_backend(self: &Rc<Self>, index: usize, slow_start_since: Option<Micros>) {
         let spec = &self.script.backends[index];
         let address = backend_address(index);
         let (id, host) = self.sim.start(ProcessOptions::plain(&spec.name, spec.zone, address.ip()));
         self.sim.observer.borrow_mut().register_process(id, Role::Backend(index), &spec.name);
         let contract = &self.script.contract;
-        let slow_start = SlowStart { from: contract.cold_from, time: contract.cold_ms * 1_000 };
-        let rng = stream(self.script.order, &format!("{} {}", spec.name, cold_since.unwrap_or(0)));
+        let slow_start = SlowStart { min_share: contract.cold_from, duration: contract.cold_ms * 1_000 };
+        let rng = stream(self.script.order, &format!("{} {}", spec.name, slow_start_since.unwrap_or(0)));
         let degradation = self.degradations[index].clone();
-        let backend = Backend::new(spec.clone(), host.clone(), slow_start, cold_since, degradation, rng);
+        let backend =
+            Backend::new(spec.clone(), host.clone(), slow_start, slow_start_since, degradation, rng);
         if let Ok(listener) = host.listen(address, 1024, false) {
             host.spawn(backend.clone().serve(listener));
         }
@@ -331,7 +336,11 @@
         }
         drop(backends);
         self.update_backend_state(index, |state| {
-            *state = BackendState { answers: true, cold_since, rate: capacity(spec) / MEAN_LIFETIME_SECONDS };
+            *state = BackendState {
+                reachable: true,
+                slow_start_since,
+                connections_per_second: capacity(spec) / MEAN_LIFETIME_SECONDS,
+            };
         });
     }
 
@@ -339,10 +348,10 @@
     fn update_backend_state(&self, index: usize, change: impl FnOnce(&mut BackendState)) {
         let mut states = self.backend_states.borrow_mut();
         change(&mut states[index]);
-        self.sim.observer.borrow_mut().backend(index, states[index]);
+        self.sim.observer.borrow_mut().set_backend_state(index, states[index]);
     }
 
-    fn entry(&self, index: usize, status: &'static str, since: Option<Micros>) -> Entry {
+    fn entry(&self, index: usize, status: &'static str, since: Option<Micros>) -> EndpointEntry {
         entry(&self.script, index, backend_address(index), status, since)
     }
 
@@ -399,11 +408,11 @@
         host.spawn(async move {
             for _ in 0..100 {
                 let ping = async {
-                    let mut lines = Lines::new(machine.connect(address).await.ok()?);
-                    write(&lines.stream, b"PING\r\n").await.ok()?;
-                    lines.next().await
+                    let mut lines = LineReader::new(machine.connect(address).await.ok()?);
+                    write_all(&lines.stream, b"PING\r\n").await.ok()?;
+                    lines.next_line().await
                 };
-                let answer = within(&machine, machine.now() + 1_000_000, ping).await.flatten();
+                let answer = with_deadline(&machine, machine.now() + 1_000_000, ping).await.flatten();
                 if answer.as_deref() == Some("PONG") {
                     world.proxy_selector.proxies.borrow_mut()[index].2 = true;
                     return;
@@ -461,7 +470,8 @@
             let address = IpAddr::V4(Ipv4Addr::new(10, 4, (index >> 8) as u8, index as u8));
             let name = format!("submitter {index}");
             let (id, host) = self.sim.start(ProcessOptions::plain(&name, spec.zone, address));
-            let role = Role::Client { index, bad: spec.bad.is_some(), slow: spec.reads_ms.is_some() };
+            let role =
+                Role::Client { index, misbehaving: spec.bad.is_some(), slow_reader: spec.reads_ms.is_some() };
             self.sim.observer.borrow_mut().register_process(id, role, &name);
             let client = Rc::new(Client {
                 spec: spec.clone(),
@@ -471,12 +481,12 @@
                 // The stream depends on the client's key alone, so removing other clients does not change it.
                 rng: RefCell::new(stream(self.script.order, &format!("submitter {}", spec.key))),
                 deadline_ms: self.script.contract.deadline_ms,
-                aim: self.script.contract.message_ms * 1_000,
+                message_target: self.script.contract.message_ms * 1_000,
                 outcome: RefCell::default(),
-                tries: Cell::new(0),
+                attempt_count: Cell::new(0),
             });
             let running = client.clone();
-            self.at(spec.at_ms, move |_| drop(host.spawn(running.live())));
+            self.at(spec.at_ms, move |_| drop(host.spawn(running.run())));
             clients.push(client);
         }
         clients
@@ -490,7 +500,7 @@
     /// Without it, the caller updates discovery.
     fn stop_backend(self: &Rc<Self>, index: usize, publish: bool) {
         let id = self.backends.borrow()[index].0;
-        self.update_backend_state(index, |state| state.answers = false);
+        self.update_backend_state(index, |state| state.reachable = false);
         self.sim.kill(id);
         if publish {
             let report_delay = self.draw(CRASH_REPORT_DELAY_US);
@@ -545,11 +555,11 @@
                 let index = self.backend_index(&backend);
                 self.at(at_ms, move |world| {
                     let id = world.backends.borrow()[index].0;
-                    world.update_backend_state(index, |state| state.answers = false);
+                    world.update_backend_state(index, |state| state.reachable = false);
                     world.sim.partition(id);
                     let report_delay = world.draw(PARTITION_REPORT_DELAY_US);
                     world.after(report_delay, move |world| {
-                        if !world.backend_states.borrow()[index].answers {
+                        if !world.backend_states.borrow()[index].reachable {
                             world.endpoint_store.publish(world.entry(index, "gone", None));
                         }
                     });
@@ -557,9 +567,9 @@
                 self.at(until_ms, move |world| {
                     let id = world.backends.borrow()[index].0;
                     world.sim.heal(id, reset);
-                    world.update_backend_state(index, |state| state.answers = true);
+                    world.update_backend_state(index, |state| state.reachable = true);
                     let report_delay = world.draw(START_REPORT_DELAY_US);
-                    let since = world.backend_states.borrow()[index].cold_since;
+                    let since = world.backend_states.borrow()[index].slow_start_since;
                     world.after(report_delay, move |world| {
                         world.endpoint_store.publish(world.entry(index, "ready", since))
                     });
@@ -567,21 +577,21 @@
             }
             Fault::Slow { node: backend, at_ms, until_ms, factor } => {
                 let index = self.backend_index(&backend);
-                self.at(at_ms, move |world| world.degradations[index].slow.set(factor));
-                self.at(until_ms, move |world| world.degradations[index].slow.set(1.0));
+                self.at(at_ms, move |world| world.degradations[index].slowdown_factor.set(factor));
+                self.at(until_ms, move |world| world.degradations[index].slowdown_factor.set(1.0));
             }
             Fault::Neighbour { node: backend, at_ms, until_ms, share } => {
                 let index = self.backend_index(&backend);
-                self.at(at_ms, move |world| world.degradations[index].neighbour.set(share));
-                self.at(until_ms, move |world| world.degradations[index].neighbour.set(0.0));
+                self.at(at_ms, move |world| world.degradations[index].neighbour_share.set(share));
+                self.at(until_ms, move |world| world.degradations[index].neighbour_share.set(0.0));
             }
             Fault::LateReports { at_ms, until_ms, by_ms } => {
                 self.at(at_ms, move |world| world.load_report_delay.set(by_ms * 1_000));
                 self.at(until_ms, move |world| world.load_report_delay.set(0));
             }
             Fault::DiscoveryLate { at_ms, until_ms, by_ms } => {
-                self.at(at_ms, move |world| world.endpoint_store.late.set(by_ms * 1_000));
-                self.at(until_ms, move |world| world.endpoint_store.late.set(0));
+                self.at(at_ms, move |world| world.endpoint_store.response_delay.set(by_ms * 1_000));
+                self.at(until_ms, move |world| world.endpoint_store.response_delay.set(0));
             }
             Fault::DiscoveryFails { at_ms, until_ms } => {
                 self.at(at_ms, move |world| world.endpoint_store.failing.set(true));
@@ -646,7 +656,7 @@
                 continue;
             }
             let id = self.sim.observer.borrow().process_of(index);
-            let held_connections = self.sim.observer.borrow().still_held(index);
+            let held_connections = self.sim.observer.borrow().unclosed_connections(index);
             let (tasks, descriptors) = (self.sim.tasks_of(id), self.sim.descriptors_of(id));
             // Listener, reserved descriptor, discovery, and for each backend one kept probe connection and
             // one that is being opened.
@@ -710,7 +720,12 @@
         partial: 0.0,
         lossy: 0.0,
     };
-    let slow_start_rule = SlowStartRule { from: 0.3, warm: 9_000_000, multiple: 4.0, fall: 1_500_000 };
+    let slow_start_rule = SlowStartRule {
+        min_share: 0.3,
+        duration: 9_000_000,
+        overload_multiple: 4.0,
+        overload_window: 1_500_000,
+    };
     let observer = Observer::new(0, &[], slow_start_rule, Trace::None);
     let sim = Sim::new(seed, Net::new(links, stream(seed, "links")), observer);
     let (_, host) = sim.start(ProcessOptions::plain("alone", 0, IpAddr::V4(Ipv4Addr::new(10, 9, 0, 1))));
