--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -153,7 +153,7 @@
         Command::Seeds(asked) => seeds::run(&asked),
         Command::Replay(asked) => replay(&asked),
         Command::Script(asked) => seed(&asked.seed).map(|seed| {
-            print!("{}", generate_script(seed).print());
+            print!("{}", generate_script(seed).to_toml());
             true
         }),
         Command::Shrink(asked) => shrink::run(&asked),
--- a/crates/lab/src/shrink.rs
+++ b/crates/lab/src/shrink.rs
@@ -85,7 +85,7 @@
         }
     }
     let after = size(&script);
-    crate::write(&asked.output, &script.print())?;
+    crate::write(&asked.output, &script.to_toml())?;
     println!(
         "{rule:?}: {} faults, {} submitters and {} execute nodes of {}, {} and {} are left, in {} lines",
         after.0,
@@ -94,7 +94,7 @@
         before.0,
         before.1,
         before.2,
-        script.print().lines().count()
+        script.to_toml().lines().count()
     );
     Ok(false)
 }
--- a/crates/lab/tests/common/mod.rs
+++ b/crates/lab/tests/common/mod.rs
@@ -9,14 +9,14 @@
         zone: i % 2,
         cores: 2,
         speed: 1.0,
-        per_core: 14.0,
-        cap: 100,
+        connections_per_core: 14.0,
+        max_connections: 100,
         queue: 20,
         setup_ms: 10.0,
         message_ms: 2.0,
         report_ms: 600,
         noise: 0.1,
-        sends_away: false,
+        sends_move_on_drain: false,
     };
     let client = |i: u64| ClientSpec {
         at_ms: 500 + i * gap,
@@ -26,14 +26,14 @@
         life_ms: 20_000,
         load: 1.0,
         retries: 1,
-        bad: None,
-        leaves_ms: None,
+        misbehavior: None,
+        leave_after_ms: None,
         resets: false,
-        reads_ms: None,
+        read_interval_ms: None,
     };
     Script {
         format: FORMAT,
-        order: 1,
+        order_seed: 1,
         length_ms: 20_000,
         links: LinkSpec {
             same_us: 200,
@@ -53,7 +53,7 @@
             fall_ms: 1_500,
         },
         proxies: (0..2)
-            .map(|i| ProxySpec { zone: i, descriptors: 512, told_descriptors: None, seed: i as u64 })
+            .map(|i| ProxySpec { zone: i, descriptors: 512, configured_descriptors: None, seed: i as u64 })
             .collect(),
         backends: (0..6).map(backend).collect(),
         clients: (0..clients).map(client).collect(),
--- a/crates/lab/tests/hard_cases.rs
+++ b/crates/lab/tests/hard_cases.rs
@@ -15,7 +15,7 @@
 fn keeps_the_rules(script: &Script, orders: u64) -> Vec<Report> {
     (0..orders)
         .map(|order| {
-            let script = Script { order, ..script.clone() };
+            let script = Script { order_seed: order, ..script.clone() };
             let report = run_script(&script, &Options { trace: Trace::Keep, ..Options::default() });
             assert!(report.violations.is_empty(), "order {order}: {:#?}", report.violations);
             report
@@ -68,7 +68,7 @@
     for (i, client) in script.clients.iter_mut().enumerate() {
         (client.resets, client.life_ms) = (true, 3_000 + 40 * i as u64);
         // Some leave while their opening is on its way.
-        client.leaves_ms = (i % 4 == 0).then_some(0);
+        client.leave_after_ms = (i % 4 == 0).then_some(0);
     }
     for at_ms in (2_000..9_000).step_by(1_000) {
         for i in 0..6 {
@@ -184,7 +184,7 @@
     let mut script = calm(160, 40);
     script.links.jitter = 0.0;
     for (i, client) in script.clients.iter_mut().enumerate() {
-        client.leaves_ms = Some(1 + i as u64 % 16);
+        client.leave_after_ms = Some(1 + i as u64 % 16);
         client.resets = i % 3 == 0;
     }
     let reports = keeps_the_rules(&script, 4);
@@ -265,7 +265,7 @@
     script.clients.iter_mut().for_each(|s| s.zone = 0);
     // As many as the system allows are fewer than the proxy is told: it meets the wall.
     for proxy in &mut script.proxies {
-        (proxy.descriptors, proxy.told_descriptors) = (96, Some(512));
+        (proxy.descriptors, proxy.configured_descriptors) = (96, Some(512));
     }
     script.faults.push(Fault::Drain {
         node: "label-0".into(),
--- a/crates/lab/tests/seeds.rs
+++ b/crates/lab/tests/seeds.rs
@@ -57,7 +57,7 @@
 fn a_printed_script_plays_as_its_seed_does() {
     for seed in 0..5 {
         let drawn = generate_script(seed);
-        let read = Script::read("printed", &drawn.print()).unwrap();
+        let read = Script::read("printed", &drawn.to_toml()).unwrap();
         assert_eq!(read, drawn);
         let digest = |script| run_script(script, &Options::default()).digest;
         assert_eq!(digest(&read), digest(&drawn));
@@ -81,7 +81,7 @@
 
 #[test]
 fn a_bad_script_is_refused_with_file_line_and_key() {
-    let good = generate_script(3).print();
+    let good = generate_script(3).to_toml();
     let fault = |text: &str| format!("{good}\n[[fault]]\n{text}");
     let lines = good.lines().count();
     let cases = [
--- a/crates/world/src/backend.rs
+++ b/crates/world/src/backend.rs
@@ -123,7 +123,7 @@
     /// script says so.
     pub fn drain(&self) {
         self.draining.set(true);
-        if self.spec.sends_away {
+        if self.spec.sends_move_on_drain {
             self.drain_requested.notify_waiters();
         }
     }
@@ -201,7 +201,7 @@
     async fn handle_request(self: Rc<Self>, mut lines: LineReader, group: String, timeout: Micros) {
         let now = self.host.now();
         let at_capacity = self.setups_in_progress.get() >= self.spec.queue
-            || self.connections.borrow().len() >= self.spec.cap;
+            || self.connections.borrow().len() >= self.spec.max_connections;
         if at_capacity || self.draining.get() {
             let text = format!("BUSY {}\r\n", self.load_report());
             // A client that has left meanwhile needs no answer.
@@ -282,7 +282,7 @@
 
 /// Returns the number of connections of average load that fill a backend.
 pub fn capacity(spec: &BackendSpec) -> f64 {
-    f64::from(spec.cores) * spec.speed * spec.per_core
+    f64::from(spec.cores) * spec.speed * spec.connections_per_core
 }
 
 /// Slot of an established connection; dropping it frees the slot, however the connection ends.
--- a/crates/world/src/client.rs
+++ b/crates/world/src/client.rs
@@ -113,7 +113,7 @@
 
     /// Runs the client until the end of its life.
     pub async fn run(self: Rc<Self>) {
-        if let Some(misbehavior) = self.spec.bad {
+        if let Some(misbehavior) = self.spec.misbehavior {
             return self.misbehave(misbehavior).await;
         }
         let started_at = self.host.now();
@@ -173,7 +173,7 @@
             return AttemptOutcome::Failed;
         }
         let sent_at = self.host.now();
-        let leave_at = self.spec.leaves_ms.map(|ms| sent_at + ms * 1_000);
+        let leave_at = self.spec.leave_after_ms.map(|ms| sent_at + ms * 1_000);
         let answer_by = leave_at.unwrap_or(sent_at + timeout).min(sent_at + timeout);
         let answer = with_deadline(&self.host, answer_by, lines.next_line()).await;
         let classify = |answer: &Option<Option<String>>| match answer {
@@ -214,7 +214,7 @@
         let mut moved = false;
         let mut read_at = self.host.now();
         loop {
-            let pause = self.spec.reads_ms.map_or(0, |ms| ms * 1_000);
+            let pause = self.spec.read_interval_ms.map_or(0, |ms| ms * 1_000);
             let read_line = async {
                 if pause > 0 {
                     self.host.sleep_until(read_at).await;
--- a/crates/world/src/generate.rs
+++ b/crates/world/src/generate.rs
@@ -39,7 +39,7 @@
         .map(|index| ProxySpec {
             zone: index % 3,
             descriptors: if rng.random_bool(0.1) { rng.random_range(100..160) } else { 512 },
-            told_descriptors: None,
+            configured_descriptors: None,
             // TOML integers are signed, so the seed must fit into 63 bits.
             seed: rng.random::<u64>() >> 1,
         })
@@ -50,7 +50,7 @@
     let faults = faults(seed, length_ms, &proxies, &backends);
     Script {
         format: FORMAT,
-        order: stream(seed, "order of the script").random::<u64>() >> 1,
+        order_seed: stream(seed, "order of the script").random::<u64>() >> 1,
         length_ms,
         links,
         contract,
@@ -72,14 +72,14 @@
         } else {
             rng.random_range(0.85..1.1)
         }),
-        per_core: round_to_thousandths(rng.random_range(11.0..17.0)),
-        cap: rng.random_range(60..200),
+        connections_per_core: round_to_thousandths(rng.random_range(11.0..17.0)),
+        max_connections: rng.random_range(60..200),
         queue: rng.random_range(8..40),
         setup_ms: round_to_thousandths(rng.random_range(2.0..15.0)),
         message_ms: round_to_thousandths(rng.random_range(1.0..6.0)),
         report_ms: rng.random_range(440..1_100),
         noise: round_to_thousandths(rng.random_range(0.0..0.2)),
-        sends_away: rng.random_bool(0.3),
+        sends_move_on_drain: rng.random_bool(0.3),
     }
 }
 
@@ -112,12 +112,14 @@
                 life_ms: client_rng.random_range(2_000..30_000),
                 load: round_to_thousandths(client_rng.random_range(0.3..1.7)),
                 retries,
-                bad: client_rng
+                misbehavior: client_rng
                     .random_bool(bad_share)
                     .then(|| *ALL_MISBEHAVIORS.choose(&mut client_rng).unwrap_or(&ALL_MISBEHAVIORS[0])),
-                leaves_ms: client_rng.random_bool(early_leaver_share).then(|| client_rng.random_range(0..60)),
+                leave_after_ms: client_rng
+                    .random_bool(early_leaver_share)
+                    .then(|| client_rng.random_range(0..60)),
                 resets: client_rng.random_bool(0.2),
-                reads_ms: client_rng
+                read_interval_ms: client_rng
                     .random_bool(slow_reader_share)
                     .then(|| client_rng.random_range(500..4_000)),
             }
--- a/crates/world/src/real.rs
+++ b/crates/world/src/real.rs
@@ -145,7 +145,7 @@
             let slow_start =
                 SlowStart { min_share: script.contract.cold_from, duration: script.contract.cold_ms * 1_000 };
             let rng = stream(
-                script.order,
+                script.order_seed,
                 &format!("{} {}", script.backends[index].name, u64::from(since.is_some())),
             );
             let backend = Backend::new(
@@ -258,7 +258,7 @@
             index,
             host: os_host.clone(),
             proxy_selector: proxy_selector.clone(),
-            rng: RefCell::new(stream(script.order, &format!("submitter {}", spec.key))),
+            rng: RefCell::new(stream(script.order_seed, &format!("submitter {}", spec.key))),
             deadline_ms: script.contract.deadline_ms,
             message_target: script.contract.message_ms * 1_000,
             outcome: RefCell::default(),
--- a/crates/world/src/run.rs
+++ b/crates/world/src/run.rs
@@ -174,7 +174,7 @@
         "feedback": {"columns": ["x0", "latency_ms", "eps", "util"], "how": "probe"},
         "penalties": {"cross-zone": 0.08},
     });
-    let sockets = spec.told_descriptors.unwrap_or(spec.descriptors);
+    let sockets = spec.configured_descriptors.unwrap_or(spec.descriptors);
     format!(
         r#"{{"name":"p{index}","listen":"{listen}","discovery":"{discovery}","seed":"{seed:016x}","limits":{{"sockets":{sockets}}},"known":{known},"settings":{settings}}}"#
     )
@@ -199,7 +199,7 @@
     };
     let names: Vec<String> = script.backends.iter().map(|backend| backend.name.clone()).collect();
     let observer = Observer::new(script.proxies.len(), &names, slow_start_rule, options.trace);
-    let sim = Sim::new(script.order, Net::new(links, stream(script.order, "links")), observer);
+    let sim = Sim::new(script.order_seed, Net::new(links, stream(script.order_seed, "links")), observer);
     let entries = script.backends.iter().enumerate().map(|(i, backend)| EndpointEntry {
         name: backend.name.clone(),
         address: backend_address(i).to_string(),
@@ -221,7 +221,7 @@
         backends: RefCell::default(),
         backend_states: RefCell::new(vec![BackendState::default(); names.len()]),
         proxy_selector: Rc::default(),
-        rng: RefCell::new(stream(script.order, "director")),
+        rng: RefCell::new(stream(script.order_seed, "director")),
         component_factory: options
             .component_factory
             .clone()
@@ -321,7 +321,7 @@
         self.sim.observer.borrow_mut().register_process(id, Role::Backend(index), &spec.name);
         let contract = &self.script.contract;
         let slow_start = SlowStart { min_share: contract.cold_from, duration: contract.cold_ms * 1_000 };
-        let rng = stream(self.script.order, &format!("{} {}", spec.name, slow_start_since.unwrap_or(0)));
+        let rng = stream(self.script.order_seed, &format!("{} {}", spec.name, slow_start_since.unwrap_or(0)));
         let degradation = self.degradations[index].clone();
         let backend =
             Backend::new(spec.clone(), host.clone(), slow_start, slow_start_since, degradation, rng);
@@ -470,8 +470,11 @@
             let address = IpAddr::V4(Ipv4Addr::new(10, 4, (index >> 8) as u8, index as u8));
             let name = format!("submitter {index}");
             let (id, host) = self.sim.start(ProcessOptions::plain(&name, spec.zone, address));
-            let role =
-                Role::Client { index, misbehaving: spec.bad.is_some(), slow_reader: spec.reads_ms.is_some() };
+            let role = Role::Client {
+                index,
+                misbehaving: spec.misbehavior.is_some(),
+                slow_reader: spec.read_interval_ms.is_some(),
+            };
             self.sim.observer.borrow_mut().register_process(id, role, &name);
             let client = Rc::new(Client {
                 spec: spec.clone(),
@@ -479,7 +482,7 @@
                 host: host.clone(),
                 proxy_selector: self.proxy_selector.clone(),
                 // The stream depends on the client's key alone, so removing other clients does not change it.
-                rng: RefCell::new(stream(self.script.order, &format!("submitter {}", spec.key))),
+                rng: RefCell::new(stream(self.script.order_seed, &format!("submitter {}", spec.key))),
                 deadline_ms: self.script.contract.deadline_ms,
                 message_target: self.script.contract.message_ms * 1_000,
                 outcome: RefCell::default(),
--- a/crates/world/src/script.rs
+++ b/crates/world/src/script.rs
@@ -14,7 +14,8 @@
     /// Version of the format; 1.
     pub format: u32,
     /// Seed of the order of events within one instant and of all random draws during the run.
-    pub order: u64,
+    #[serde(rename = "order")]
+    pub order_seed: u64,
     /// Length of the run; virtual milliseconds, 1,000 to 600,000.
     pub length_ms: u64,
     /// The network.
@@ -82,8 +83,8 @@
     /// Maximum number of descriptors that the process may have open.
     pub descriptors: usize,
     /// Descriptor limit in the proxy's config, if it differs from `descriptors`.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub told_descriptors: Option<usize>,
+    #[serde(rename = "told_descriptors", default, skip_serializing_if = "Option::is_none")]
+    pub configured_descriptors: Option<usize>,
     /// Seed of the decision module's random numbers.
     pub seed: u64,
 }
@@ -101,9 +102,11 @@
     /// Speed of a core relative to the reference core; 0.01 to 100.
     pub speed: f64,
     /// Number of connections of mean load that fully load a reference core.
-    pub per_core: f64,
+    #[serde(rename = "per_core")]
+    pub connections_per_core: f64,
     /// Maximum number of connections.
-    pub cap: usize,
+    #[serde(rename = "cap")]
+    pub max_connections: usize,
     /// Maximum number of requests that wait for their setup.
     pub queue: usize,
     /// Work of one setup; milliseconds on a reference core.
@@ -115,8 +118,8 @@
     /// Maximum relative error of load reports; 0 to 1.
     pub noise: f64,
     /// Whether the backend sends MOVE to its clients when it drains.
-    #[serde(default)]
-    pub sends_away: bool,
+    #[serde(rename = "sends_away", default)]
+    pub sends_move_on_drain: bool,
 }
 
 /// A client.
@@ -139,17 +142,17 @@
     #[serde(default)]
     pub retries: u32,
     /// The way in which the client violates the protocol, if it does.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub bad: Option<Misbehavior>,
+    #[serde(rename = "bad", default, skip_serializing_if = "Option::is_none")]
+    pub misbehavior: Option<Misbehavior>,
     /// Time after its request at which the client leaves without waiting for an answer; milliseconds.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub leaves_ms: Option<u64>,
+    #[serde(rename = "leaves_ms", default, skip_serializing_if = "Option::is_none")]
+    pub leave_after_ms: Option<u64>,
     /// Whether the client closes its connection with a reset.
     #[serde(default)]
     pub resets: bool,
     /// Interval at which a slow client reads; milliseconds.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub reads_ms: Option<u64>,
+    #[serde(rename = "reads_ms", default, skip_serializing_if = "Option::is_none")]
+    pub read_interval_ms: Option<u64>,
 }
 
 /// Ways in which clients violate the protocol.
@@ -417,7 +420,7 @@
     }
 
     /// Formats the script as TOML, which can be edited and read again.
-    pub fn print(&self) -> String {
+    pub fn to_toml(&self) -> String {
         toml::to_string(self).unwrap_or_else(|e| format!("# {e}\n"))
     }
 
@@ -479,7 +482,7 @@
     }
 
     /// The faults as text, one line each.
-    pub fn faults_in_words(&self) -> String {
+    pub fn faults_as_text(&self) -> String {
         let mut text = String::new();
         for fault in &self.faults {
             let _ = writeln!(text, "{fault:?}");
