--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -10,7 +10,7 @@
 use pierloom_lab::defects::Defect;
 use pierloom_world::generate::generate_script;
 use pierloom_world::observer::Trace;
-use pierloom_world::run::{Options, Report, play};
+use pierloom_world::run::{Options, Report, run_script};
 use pierloom_world::script::Script;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -108,7 +108,7 @@
         counts.attempts,
         counts.moves,
         counts.network_events,
-        report.service(),
+        report.service_quality(),
         report.digest,
         report.violations.len()
     );
@@ -117,11 +117,11 @@
 /// Runs the `replay` command; returns whether every rule was kept.
 fn replay(args: &Replay) -> Result<bool, String> {
     let script = load_script(&args.seed_or_script)?;
-    let build = args.defect.map(Defect::component_factory);
+    let component_factory = args.defect.map(Defect::component_factory);
     let trace = if args.trace { Trace::Print } else { Trace::None };
-    let report = play(
+    let report = run_script(
         &script,
-        &Options { trace, build, injected_defect: args.defect.and_then(Defect::injected_defect) },
+        &Options { trace, component_factory, injected_defect: args.defect.and_then(Defect::injected_defect) },
     );
     if args.json {
         println!("{}", serde_json::to_string(&report).map_err(|error| error.to_string())?);
@@ -154,13 +154,13 @@
         Command::Seeds(args) => seeds::run(&args),
         Command::Replay(args) => replay(&args),
         Command::Script(args) => parse_seed(&args.seed).map(|seed| {
-            print!("{}", generate_script(seed).print());
+            print!("{}", generate_script(seed).to_toml());
             true
         }),
         Command::Shrink(args) => shrink::run(&args),
         Command::Ledger(args) => ledger::run(&args),
         Command::Digest(args) => load_script(&args.seed_or_script).map(|script| {
-            println!("{:016x}", play(&script, &Options::default()).digest);
+            println!("{:016x}", run_script(&script, &Options::default()).digest);
             true
         }),
     };
--- a/crates/lab/src/shrink.rs
+++ b/crates/lab/src/shrink.rs
@@ -4,7 +4,7 @@
 use argh::FromArgs;
 use pierloom_lab::defects::Defect;
 use pierloom_world::observer::Rule;
-use pierloom_world::run::{Options, play};
+use pierloom_world::run::{Options, run_script};
 use pierloom_world::script::{Fault, Script};
 use std::path::PathBuf;
 
@@ -25,7 +25,7 @@
 
 /// Whether the rule breaks when the script runs.
 fn breaks_rule(script: &Script, rule: Rule, options: &Options) -> bool {
-    play(script, options).violations.iter().any(|violation| violation.rule == rule)
+    run_script(script, options).violations.iter().any(|violation| violation.rule == rule)
 }
 
 /// Removes items while `still_fails` holds for the rest. It must hold for all items.
@@ -52,12 +52,12 @@
 /// Runs the `shrink` command; returns whether the script kept every rule, so that there is nothing to shrink.
 pub fn run(args: &Shrink) -> Result<bool, String> {
     let options = Options {
-        build: args.defect.map(Defect::component_factory),
+        component_factory: args.defect.map(Defect::component_factory),
         injected_defect: args.defect.and_then(Defect::injected_defect),
         ..Options::default()
     };
     let mut script = crate::load_script(&args.seed_or_script)?;
-    let report = play(&script, &options);
+    let report = run_script(&script, &options);
     let Some(first_violation) = report.violations.first() else {
         println!("no rule breaks");
         return Ok(true);
@@ -88,7 +88,7 @@
         }
     }
     let sizes_after = sizes(&script);
-    crate::write_file(&args.output, &script.print())?;
+    crate::write_file(&args.output, &script.to_toml())?;
     println!(
         "{rule:?}: {} faults, {} submitters and {} execute nodes of {}, {} and {} are left, in {} lines",
         sizes_after.0,
@@ -97,7 +97,7 @@
         sizes_before.0,
         sizes_before.1,
         sizes_before.2,
-        script.print().lines().count()
+        script.to_toml().lines().count()
     );
     Ok(false)
 }
--- a/crates/lab/tests/hard_cases.rs
+++ b/crates/lab/tests/hard_cases.rs
@@ -6,7 +6,7 @@
 use common::script_without_faults;
 use pierloom_host::Micros;
 use pierloom_world::observer::Trace;
-use pierloom_world::run::{Options, Report, play, single_process};
+use pierloom_world::run::{Options, Report, run_script, single_process};
 use pierloom_world::script::{Fault, Script};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -17,8 +17,8 @@
 fn play_without_violations(script: &Script, orders: u64) -> Vec<Report> {
     (0..orders)
         .map(|order| {
-            let script = Script { order, ..script.clone() };
-            let report = play(&script, &Options { trace: Trace::Keep, ..Options::default() });
+            let script = Script { order_seed: order, ..script.clone() };
+            let report = run_script(&script, &Options { trace: Trace::Keep, ..Options::default() });
             assert!(report.violations.is_empty(), "order {order}: {:#?}", report.violations);
             report
         })
@@ -77,7 +77,7 @@
     for (i, client) in script.clients.iter_mut().enumerate() {
         (client.resets, client.life_ms) = (true, 3_000 + 40 * i as u64);
         // Every fourth client leaves while its request is in flight.
-        client.leaves_ms = (i % 4 == 0).then_some(0);
+        client.leave_after_ms = (i % 4 == 0).then_some(0);
     }
     for at_ms in (2_000..9_000).step_by(1_000) {
         for i in 0..6 {
@@ -214,7 +214,7 @@
     let mut script = script_without_faults(160, 40);
     script.links.jitter = 0.0;
     for (i, client) in script.clients.iter_mut().enumerate() {
-        client.leaves_ms = Some(1 + i as u64 % 16);
+        client.leave_after_ms = Some(1 + i as u64 % 16);
         client.resets = i % 3 == 0;
     }
     let reports = play_without_violations(&script, 4);
@@ -313,7 +313,7 @@
     let mut script = script_without_faults(150, 40);
     script.clients.iter_mut().for_each(|client| client.zone = 0);
     for proxy in &mut script.proxies {
-        (proxy.descriptors, proxy.told_descriptors) = (96, Some(512));
+        (proxy.descriptors, proxy.configured_descriptors) = (96, Some(512));
     }
     script.faults.push(Fault::Drain {
         node: "label-0".into(),
--- a/crates/lab/tests/real.rs
+++ b/crates/lab/tests/real.rs
@@ -4,19 +4,20 @@
 
 use common::script_without_faults;
 use pierloom_world::real;
-use pierloom_world::run::{Options, play, service};
+use pierloom_world::run::{Options, run_script, service_quality};
 use pierloom_world::script::{Fault, Script};
 
 /// Checks that each client gets the same answers in both runs, and that the service values differ by at most
 /// `tolerance`.
 fn assert_same_on_real_sockets(script: &Script, tolerance: f64) {
-    let simulated = play(script, &Options::default());
+    let simulated = run_script(script, &Options::default());
     assert!(simulated.violations.is_empty(), "{:#?}", simulated.violations);
-    let real = real::play(script).unwrap();
+    let real = real::run_script(script).unwrap();
     let answers = |outcomes: &[pierloom_world::client::Outcome]| {
         outcomes.iter().map(|outcome| outcome.answers.clone()).collect::<Vec<_>>()
     };
-    let (simulated_service, real_service) = (service(&simulated.outcomes), service(&real.outcomes));
+    let (simulated_service, real_service) =
+        (service_quality(&simulated.outcomes), service_quality(&real.outcomes));
     println!("service: simulated {simulated_service:.4}, real {real_service:.4}");
     assert_eq!(answers(&simulated.outcomes), answers(&real.outcomes));
     assert!(
--- a/crates/lab/tests/seeds.rs
+++ b/crates/lab/tests/seeds.rs
@@ -4,7 +4,7 @@
 
 use pierloom_lab::defects::{DEFECTS, DETECTED};
 use pierloom_world::generate::generate_script;
-use pierloom_world::run::{Options, play};
+use pierloom_world::run::{Options, run_script};
 use pierloom_world::script::Script;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -50,7 +50,7 @@
         let path = entry.unwrap().path();
         let script = std::fs::read_to_string(&path).unwrap();
         let script = Script::read(path.to_str().unwrap(), &script).unwrap();
-        let report = play(&script, &Options::default());
+        let report = run_script(&script, &Options::default());
         assert!(report.violations.is_empty(), "{}: {:#?}", path.display(), report.violations);
         script_count += 1;
     }
@@ -63,9 +63,9 @@
 fn printed_script_gives_the_same_digest_as_its_seed() {
     for seed in 0..5 {
         let generated = generate_script(seed);
-        let read = Script::read("printed", &generated.print()).unwrap();
+        let read = Script::read("printed", &generated.to_toml()).unwrap();
         assert_eq!(read, generated);
-        let digest = |script| play(script, &Options::default()).digest;
+        let digest = |script| run_script(script, &Options::default()).digest;
         assert_eq!(digest(&read), digest(&generated));
     }
 }
@@ -76,11 +76,11 @@
     for (name, defect) in DEFECTS.iter().filter(|(name, _)| DETECTED.contains(name)) {
         let detecting_seed = (0..60).find(|&seed| {
             let options = Options {
-                build: Some(defect.component_factory()),
+                component_factory: Some(defect.component_factory()),
                 injected_defect: defect.injected_defect(),
                 ..Options::default()
             };
-            !play(&generate_script(seed), &options).violations.is_empty()
+            !run_script(&generate_script(seed), &options).violations.is_empty()
         });
         assert!(detecting_seed.is_some(), "{name} is not detected in 60 seeds");
     }
@@ -90,7 +90,7 @@
 /// the line and the key.
 #[test]
 fn invalid_script_is_rejected_with_file_line_and_key() {
-    let valid = generate_script(3).print();
+    let valid = generate_script(3).to_toml();
     let with_fault = |text: &str| format!("{valid}\n[[fault]]\n{text}");
     let lines = valid.lines().count();
     let cases = [
