--- a/crates/lab/src/defects.rs
+++ b/crates/lab/src/defects.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
     /// A refusal is written twice.
-    AnswerTwice,
+    RefusalTwice,
     /// The decision module sees a draining backend as ready.
     DrainIgnored,
     /// The decision module sees a backend that is gone as ready.
@@ -22,10 +22,10 @@
     SlowStartIgnored,
     /// The decision module's refusals are dropped.
     RefusalLost,
-    /// Each attempt is ordered a second time while the first is in progress.
+    /// Each `Send` action is issued twice: the second attempt is requested while the first is in progress.
     AttemptTwice,
-    /// The decision module does not receive the event of an unanswered message.
-    SilenceIgnored,
+    /// The decision module receives no `Measurement::Unanswered`, which reports a message without an answer.
+    UnansweredIgnored,
     /// The decision module's subscriptions to endpoint changes are dropped.
     SubscribeLost,
     /// A client is moved without a MOVE line.
@@ -35,43 +35,44 @@
     /// The decision module panics at every 50th measurement.
     PanicAtMeasurement,
     /// Refusals are written 5 s late.
-    AnswerLate,
+    RefusalLate,
     /// A request reaches the backend without its group.
-    RequestChanged,
+    GroupRemoved,
     /// A malformed request is answered with nothing instead of an error.
     MalformedIgnored,
     /// A defect of the proxy's sockets or timers.
-    Net(InjectedDefect),
+    SocketOrTimer(InjectedDefect),
 }
 
 /// All defects, each with its name on the command line.
 pub const DEFECTS: [(&str, Defect); 20] = [
-    ("answer-twice", Defect::AnswerTwice),
+    ("answer-twice", Defect::RefusalTwice),
     ("drain-ignored", Defect::DrainIgnored),
     ("gone-ignored", Defect::GoneIgnored),
     ("cold-ignored", Defect::SlowStartIgnored),
-    ("silence-ignored", Defect::SilenceIgnored),
+    ("silence-ignored", Defect::UnansweredIgnored),
     ("watch-forgotten", Defect::SubscribeLost),
     ("move-mute", Defect::MoveMissing),
     ("move-cut-short", Defect::MoveCutShort),
     ("panic-at-note", Defect::PanicAtMeasurement),
-    ("opening-changed", Defect::RequestChanged),
-    ("reset-swallowed", Defect::Net(InjectedDefect::ResetSwallowed)),
-    ("end-swallowed", Defect::Net(InjectedDefect::EndSwallowed)),
-    ("wake-lost", Defect::Net(InjectedDefect::WakeLost)),
-    ("close-lost", Defect::Net(InjectedDefect::CloseLost)),
-    ("timer-late", Defect::Net(InjectedDefect::TimerLate)),
-    ("byte-doubled", Defect::Net(InjectedDefect::ByteDoubled)),
+    ("opening-changed", Defect::GroupRemoved),
+    ("reset-swallowed", Defect::SocketOrTimer(InjectedDefect::ResetSwallowed)),
+    ("end-swallowed", Defect::SocketOrTimer(InjectedDefect::EndSwallowed)),
+    ("wake-lost", Defect::SocketOrTimer(InjectedDefect::WakeLost)),
+    ("close-lost", Defect::SocketOrTimer(InjectedDefect::CloseLost)),
+    ("timer-late", Defect::SocketOrTimer(InjectedDefect::TimerLate)),
+    ("byte-doubled", Defect::SocketOrTimer(InjectedDefect::ByteDoubled)),
     ("refusal-lost", Defect::RefusalLost),
-    ("answer-late", Defect::AnswerLate),
+    ("answer-late", Defect::RefusalLate),
     ("claim-twice", Defect::AttemptTwice),
     ("bad-ignored", Defect::MalformedIgnored),
 ];
 
-/// Names of the defects that break a rule. The proxy compensates for the other four: it answers by itself at
-/// a request's deadline, it runs one attempt of a request at a time whatever is ordered, and it limits the
-/// time that a client has to send its request.
-pub const DETECTED: [&str; 16] = [
+/// Names of the defects that break a rule. The proxy compensates for the other four. At a request's deadline
+/// the proxy itself answers the client (`refusal-lost`, `answer-late`). The proxy runs one attempt of a
+/// request at a time, even if the decision module issues a second one (`claim-twice`). The proxy limits the
+/// time that a client has to send its request (`bad-ignored`).
+pub const DETECTED_DEFECTS: [&str; 16] = [
     "answer-twice",
     "drain-ignored",
     "gone-ignored",
@@ -106,7 +107,7 @@
     /// The defect for the proxies' sockets and timers, if this is one of those.
     pub fn injected_defect(self) -> Option<InjectedDefect> {
         match self {
-            Defect::Net(injected_defect) => Some(injected_defect),
+            Defect::SocketOrTimer(injected_defect) => Some(injected_defect),
             _ => None,
         }
     }
@@ -139,9 +140,10 @@
     measurements: u64,
 }
 
-/// Lowest timer token of the wrapper; the wrapped module sets timers with smaller tokens only.
-const FIRST_OWN_TOKEN: u64 = 1 << 60;
-/// Delay of a refusal under [`Defect::AnswerLate`].
+/// Lowest timer token that [`DefectiveModule`] sets for itself. The wrapped module sets timers with smaller
+/// tokens only.
+const MIN_WRAPPER_TIMER_TOKEN: u64 = 1 << 60;
+/// Delay of a refusal under [`Defect::RefusalLate`].
 const REFUSAL_DELAY_US: Micros = 5_000_000;
 /// Measurements from one panic to the next under [`Defect::PanicAtMeasurement`].
 const MEASUREMENTS_PER_PANIC: u64 = 50;
@@ -173,13 +175,13 @@
                 kind,
                 members: members.iter().map(|member| self.alter_member(member)).collect(),
             },
-            Event::Timer(token) if token >= FIRST_OWN_TOKEN => {
+            Event::Timer(token) if token >= MIN_WRAPPER_TIMER_TOKEN => {
                 let due = self.delayed_refusals.iter().position(|(due_token, _)| *due_token == token);
                 out.extend(due.map(|index| self.delayed_refusals.swap_remove(index).1));
                 return;
             }
             Event::Measured(_, pierloom_decision::Measurement::Unanswered(_))
-                if self.defect == Defect::SilenceIgnored =>
+                if self.defect == Defect::UnansweredIgnored =>
             {
                 return;
             }
@@ -190,26 +192,26 @@
             }
             event => event,
         };
-        let new_actions = out.len();
+        let first_new_action = out.len();
         self.inner.handle(now, event, out);
         match self.defect {
             Defect::RefusalLost => out.retain(|action| !matches!(action, Action::Refuse { .. })),
             Defect::SubscribeLost => out.retain(|action| !matches!(action, Action::Subscribe)),
             Defect::AttemptTwice => {
-                let duplicates: Vec<Action> = out[new_actions..]
+                let duplicates: Vec<Action> = out[first_new_action..]
                     .iter()
                     .filter(|action| matches!(action, Action::Send { .. }))
                     .cloned()
                     .collect();
                 out.extend(duplicates);
             }
-            Defect::AnswerLate => {
+            Defect::RefusalLate => {
                 let (refusals, rest) =
                     out.drain(..).partition(|action| matches!(action, Action::Refuse { .. }));
                 *out = rest;
                 let refusals: Vec<Action> = refusals;
                 for refusal in refusals {
-                    let token = FIRST_OWN_TOKEN + self.delayed_refusals.len() as u64 + now;
+                    let token = MIN_WRAPPER_TIMER_TOKEN + self.delayed_refusals.len() as u64 + now;
                     self.delayed_refusals.push((token, refusal));
                     out.push(Action::Timer(REFUSAL_DELAY_US, token));
                 }
@@ -226,9 +228,9 @@
 }
 
 /// A request that is encoded without its group.
-struct DefectiveRequest(Box<dyn pierloom_proxy::protocol::ClientRequest>);
+struct RequestWithoutGroup(Box<dyn pierloom_proxy::protocol::ClientRequest>);
 
-impl pierloom_proxy::protocol::ClientRequest for DefectiveRequest {
+impl pierloom_proxy::protocol::ClientRequest for RequestWithoutGroup {
     fn request(&self) -> pierloom_decision::Request {
         self.0.request()
     }
@@ -255,8 +257,8 @@
 impl Protocol for DefectiveProtocol {
     fn parse_client_line(&self, line: &[u8]) -> ClientMessage {
         match self.inner.parse_client_line(line) {
-            ClientMessage::Request(request) if self.defect == Defect::RequestChanged => {
-                ClientMessage::Request(Box::new(DefectiveRequest(request)))
+            ClientMessage::Request(request) if self.defect == Defect::GroupRemoved => {
+                ClientMessage::Request(Box::new(RequestWithoutGroup(request)))
             }
             ClientMessage::Malformed if self.defect == Defect::MalformedIgnored => {
                 ClientMessage::Immediate(b"")
@@ -279,7 +281,7 @@
 
     fn refusal(&self, wait: Option<Micros>) -> Vec<u8> {
         let line = self.inner.refusal(wait);
-        if self.defect == Defect::AnswerTwice { line.repeat(2) } else { line }
+        if self.defect == Defect::RefusalTwice { line.repeat(2) } else { line }
     }
 
     fn failure(&self) -> Vec<u8> {
--- a/crates/lab/src/ledger.rs
+++ b/crates/lab/src/ledger.rs
@@ -22,13 +22,13 @@
 
 /// Event counts summed over the logs of several proxies.
 #[derive(Default)]
-pub struct Sums {
+pub struct EventCountSums {
     /// The sums of each second, by Unix time.
-    pub seconds: BTreeMap<u64, Counts>,
-    /// Log files read.
-    pub files: usize,
-    /// Ledger lines read.
-    pub lines: usize,
+    pub by_second: BTreeMap<u64, Counts>,
+    /// The number of log files read.
+    pub file_count: usize,
+    /// The number of ledger lines read.
+    pub line_count: usize,
 }
 
 /// Counts that are gauges: they add up over proxies, but not over time.
@@ -50,31 +50,31 @@
 fn parse_counts(message: &str) -> Result<(u64, Counts), String> {
     let mut counts = Counts::new();
     for pair in message.split_whitespace() {
-        let (name, count) = pair.split_once('=').ok_or_else(|| format!("{pair:?} is no count"))?;
-        let count = count.parse().map_err(|_| format!("{pair:?} is no count"))?;
+        let (name, count) = pair.split_once('=').ok_or_else(|| format!("{pair:?} is not a count"))?;
+        let count = count.parse().map_err(|_| format!("{pair:?} is not a count"))?;
         if counts.insert(name.to_string(), count).is_some() {
-            return Err(format!("{name} stands twice"));
+            return Err(format!("{name} occurs twice"));
         }
     }
-    let second = counts.remove("at").ok_or("no second (at) is named")?;
+    let second = counts.remove("at").ok_or("the second (at) is missing")?;
     Ok((second, counts))
 }
 
-impl Sums {
+impl EventCountSums {
     /// Adds the text of one log; the error for a malformed line names the file and the line.
-    pub fn add(&mut self, name: &str, text: &str) -> Result<(), String> {
-        self.files += 1;
+    pub fn add_log(&mut self, name: &str, text: &str) -> Result<(), String> {
+        self.file_count += 1;
         for (index, line) in text.lines().enumerate() {
             let Some(message) = ledger_message(line) else { continue };
             let parsed = message.and_then(|message| parse_counts(&message));
             let (second, counts) =
                 parsed.map_err(|reason| format!("{name}, line {}: {reason}", index + 1))?;
-            let sums = self.seconds.entry(second).or_default();
+            let sums = self.by_second.entry(second).or_default();
             for (name, count) in counts {
                 let sum = sums.entry(name).or_default();
                 *sum = sum.saturating_add(count);
             }
-            self.lines += 1;
+            self.line_count += 1;
         }
         Ok(())
     }
@@ -82,7 +82,7 @@
     /// The total of each count over all seconds; for a gauge, its highest value.
     pub fn totals(&self) -> Counts {
         let mut totals = Counts::new();
-        for (name, &count) in self.seconds.values().flatten() {
+        for (name, &count) in self.by_second.values().flatten() {
             let total = totals.entry(name.clone()).or_default();
             let is_gauge = GAUGES.contains(&name.as_str());
             *total = if is_gauge { (*total).max(count) } else { total.saturating_add(count) };
@@ -92,21 +92,21 @@
 
     /// Prints one line for each second, counted from the first, and one for the totals.
     fn print(&self) {
-        let Some(&first_second) = self.seconds.keys().next() else { return };
-        let names: BTreeSet<&String> = self.seconds.values().flat_map(BTreeMap::keys).collect();
+        let Some(&first_second) = self.by_second.keys().next() else { return };
+        let names: BTreeSet<&String> = self.by_second.values().flat_map(BTreeMap::keys).collect();
         let print_row = |head: &str, counts: &Counts| {
             let counts = names.iter().filter_map(|name| Some(format!("{name}={}", counts.get(*name)?)));
             println!("{head:>6}  {}", counts.collect::<Vec<_>>().join(" "));
         };
-        self.seconds
+        self.by_second
             .iter()
             .for_each(|(second, counts)| print_row(&(second - first_second).to_string(), counts));
         print_row("all", &self.totals());
     }
 }
 
-/// Reads all logs of a folder; it is an error if they hold no ledger line.
-pub fn read_folder(folder: &Path) -> Result<Sums, String> {
+/// Reads all logs of a folder. Fails if the logs hold no ledger line.
+pub fn read_folder(folder: &Path) -> Result<EventCountSums, String> {
     let folder_error = |error: std::io::Error| format!("{}: {error}", folder.display());
     let mut paths = Vec::new();
     for entry in std::fs::read_dir(folder).map_err(folder_error)? {
@@ -116,26 +116,26 @@
         }
     }
     paths.sort();
-    let mut sums = Sums::default();
+    let mut sums = EventCountSums::default();
     for path in paths {
         let text = std::fs::read(&path).map_err(|error| format!("{}: {error}", path.display()))?;
-        sums.add(&path.display().to_string(), &String::from_utf8_lossy(&text))?;
+        sums.add_log(&path.display().to_string(), &String::from_utf8_lossy(&text))?;
     }
-    if sums.lines == 0 {
-        return Err(format!("{}: no ledger line in {} logs", folder.display(), sums.files));
+    if sums.line_count == 0 {
+        return Err(format!("{}: no ledger line in {} logs", folder.display(), sums.file_count));
     }
     Ok(sums)
 }
 
-/// Runs the `ledger` command; it checks no rule, so that it returns `true`.
+/// Runs the `ledger` command. The result is always `true`, because the command checks no rule.
 pub fn run(args: &SumEventCounts) -> Result<bool, String> {
     let sums = read_folder(&args.folder)?;
     if args.json {
-        println!("{}", serde_json::to_string(&sums.seconds).map_err(|error| error.to_string())?);
+        println!("{}", serde_json::to_string(&sums.by_second).map_err(|error| error.to_string())?);
     } else {
         println!(
             "{} logs, {} ledger lines; seconds from the first, sums over all proxies",
-            sums.files, sums.lines
+            sums.file_count, sums.line_count
         );
         sums.print();
     }
@@ -144,32 +144,35 @@
 
 #[cfg(test)]
 mod tests {
-    use super::Sums;
+    use super::EventCountSums;
 
     #[test]
     fn ledger_lines_of_text_and_json_logs_are_summed_and_other_lines_ignored() {
-        let mut sums = Sums::default();
+        let mut sums = EventCountSums::default();
         let text = "0.1 2026-12-01T00:00:00Z  INFO proxy: n0 listening on 10.0.0.1:7070\n\
                     1.1 2026-12-01T00:00:01Z  INFO ledger: at=100 claims=2 standing=3\n\
                     2.1 2026-12-01T00:00:02Z  INFO ledger: at=101 claims=1 standing=4\n";
         let json = r#"{"level":"INFO","fields":{"message":"at=100 claims=5 standing=1"},"target":"ledger"}"#;
-        sums.add("n0.log", text).unwrap();
-        sums.add("n1.log", json).unwrap();
-        assert_eq!(sums.seconds[&100]["claims"], 7);
+        sums.add_log("n0.log", text).unwrap();
+        sums.add_log("n1.log", json).unwrap();
+        assert_eq!(sums.by_second[&100]["claims"], 7);
         assert_eq!((sums.totals()["claims"], sums.totals()["standing"]), (8, 4));
-        assert_eq!((sums.files, sums.lines), (2, 3));
+        assert_eq!((sums.file_count, sums.line_count), (2, 3));
     }
 
     #[test]
     fn malformed_ledger_line_is_reported_with_file_and_line_number() {
         for (line, reason) in [
-            ("INFO ledger: at=100 claims", "\"claims\" is no count"),
-            ("INFO ledger: at=100 claims=-1", "\"claims=-1\" is no count"),
-            ("INFO ledger: claims=1", "no second (at) is named"),
-            ("INFO ledger: at=1 claims=1 claims=2", "claims stands twice"),
+            ("INFO ledger: at=100 claims", "\"claims\" is not a count"),
+            ("INFO ledger: at=100 claims=-1", "\"claims=-1\" is not a count"),
+            ("INFO ledger: claims=1", "the second (at) is missing"),
+            ("INFO ledger: at=1 claims=1 claims=2", "claims occurs twice"),
         ] {
             let text = format!("0 INFO proxy: hello\n0 {line}\n");
-            assert_eq!(Sums::default().add("a.log", &text), Err(format!("a.log, line 2: {reason}")));
+            assert_eq!(
+                EventCountSums::default().add_log("a.log", &text),
+                Err(format!("a.log, line 2: {reason}"))
+            );
         }
     }
 }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -131,7 +131,7 @@
     Ok(report.violations.is_empty())
 }
 
-/// Writes a file; the error names it.
+/// Writes a file. The error message starts with the file's path.
 fn write_file(path: &PathBuf, text: &str) -> Result<(), String> {
     std::fs::write(path, text).map_err(|error| format!("{}: {error}", path.display()))
 }
--- a/crates/lab/src/seeds.rs
+++ b/crates/lab/src/seeds.rs
@@ -15,10 +15,10 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Instant;
 
-/// Seeds that the summary names for each broken rule.
-const MAX_SEEDS_PER_RULE: usize = 12;
-/// Failing seeds that the summary shows with their first violation.
-const MAX_FAILING_SEEDS: usize = 20;
+/// Highest number of seeds that the summary names for each broken rule.
+const MAX_SHOWN_SEEDS_PER_RULE: usize = 12;
+/// Highest number of failing seeds that the summary shows with their first violation.
+const MAX_SHOWN_FAILING_SEEDS: usize = 20;
 
 /// Run many seeds, and list those in which a rule broke.
 #[derive(FromArgs)]
@@ -46,7 +46,8 @@
 struct SeedResult {
     seed: u64,
     digest: String,
-    rules: Vec<Rule>,
+    #[serde(rename = "rules")]
+    broken_rules: Vec<Rule>,
     #[serde(rename = "first")]
     first_violation: Option<String>,
     proxies: usize,
@@ -61,7 +62,8 @@
     network_events: u64,
     #[serde(rename = "jobs")]
     requests: u64,
-    service: f64,
+    #[serde(rename = "service")]
+    service_quality: f64,
 }
 
 /// Runs one seed.
@@ -78,7 +80,7 @@
     SeedResult {
         seed,
         digest: format!("{:016x}", report.digest),
-        rules: report.violations.iter().map(|violation| violation.rule).collect(),
+        broken_rules: report.violations.iter().map(|violation| violation.rule).collect(),
         first_violation: report
             .violations
             .first()
@@ -90,7 +92,7 @@
         virtual_seconds: report.length as f64 / 1e6,
         network_events: report.counts.network_events,
         requests: report.counts.requests,
-        service: report.service_quality(),
+        service_quality: report.service_quality(),
     }
 }
 
@@ -115,10 +117,11 @@
                         return;
                     }
                     let result = run_seed(seed, args.defect);
-                    if !result.rules.is_empty() {
-                        progress.set_message(format!("seed {seed}: {:?}", result.rules[0]));
+                    if !result.broken_rules.is_empty() {
+                        progress.set_message(format!("seed {seed}: {:?}", result.broken_rules[0]));
                         if args.defect.is_some() {
-                            // Lower seeds still run, so that the lowest seed that detects it is reported.
+                            // Lower seeds still run, so that the lowest seed that detects the
+                            // defect is reported.
                             stop_seed.fetch_min(seed, Ordering::Relaxed);
                         }
                     }
@@ -139,7 +142,7 @@
         let text = serde_json::to_string(&results).map_err(|error| error.to_string())?;
         crate::write_file(path, &text)?;
     }
-    Ok(results.iter().all(|result| result.rules.is_empty()))
+    Ok(results.iter().all(|result| result.broken_rules.is_empty()))
 }
 
 /// Prints the seeds of each broken rule, the first violations, and the averages over all runs.
@@ -148,20 +151,22 @@
         |value: fn(&SeedResult) -> f64| results.iter().map(value).sum::<f64>() / results.len().max(1) as f64;
     let mut seeds_by_rule: BTreeMap<Rule, Vec<u64>> = BTreeMap::new();
     for result in results {
-        let mut broken_rules = result.rules.clone();
+        let mut broken_rules = result.broken_rules.clone();
         broken_rules.sort();
         broken_rules.dedup();
         broken_rules.into_iter().for_each(|rule| seeds_by_rule.entry(rule).or_default().push(result.seed));
     }
     for (rule, seeds) in &seeds_by_rule {
-        let shown: Vec<String> = seeds.iter().take(MAX_SEEDS_PER_RULE).map(u64::to_string).collect();
+        let shown: Vec<String> = seeds.iter().take(MAX_SHOWN_SEEDS_PER_RULE).map(u64::to_string).collect();
         println!("{rule:?}: {} seeds: {}", seeds.len(), shown.join(" "));
     }
-    for result in results.iter().filter(|result| !result.rules.is_empty()).take(MAX_FAILING_SEEDS) {
+    for result in
+        results.iter().filter(|result| !result.broken_rules.is_empty()).take(MAX_SHOWN_FAILING_SEEDS)
+    {
         println!(
             "  seed {}: {:?} {}",
             result.seed,
-            result.rules[0],
+            result.broken_rules[0],
             result.first_violation.as_deref().unwrap_or_default()
         );
     }
@@ -178,6 +183,6 @@
         mean(|result| result.faults as f64),
         mean(|result| result.requests as f64),
         mean(|result| result.network_events as f64),
-        mean(|result| result.service),
+        mean(|result| result.service_quality),
     );
 }
--- a/crates/lab/src/shrink.rs
+++ b/crates/lab/src/shrink.rs
@@ -28,7 +28,7 @@
     run_script(script, options).violations.iter().any(|violation| violation.rule == rule)
 }
 
-/// Removes items while `still_fails` holds for the rest. It must hold for all items.
+/// Removes items while `still_fails` holds for the rest. `still_fails` must hold for `all`.
 /// No single item of the result can be removed, but a smaller set may exist.
 fn minimize<T: Clone>(all: &[T], mut still_fails: impl FnMut(&[T]) -> bool) -> Vec<T> {
     let mut kept = all.to_vec();
--- a/crates/lab/tests/seeds.rs
+++ b/crates/lab/tests/seeds.rs
@@ -2,7 +2,7 @@
 //! Equal seeds give equal digests however they are run.
 #![allow(clippy::disallowed_types, clippy::disallowed_methods)] // runs the lab's program and reads its files
 
-use pierloom_lab::defects::{DEFECTS, DETECTED};
+use pierloom_lab::defects::{DEFECTS, DETECTED_DEFECTS};
 use pierloom_world::generate::generate_script;
 use pierloom_world::run::{Options, run_script};
 use pierloom_world::script::Script;
@@ -14,7 +14,7 @@
     Command::new(env!("CARGO_BIN_EXE_pierloom-lab")).args(arguments).output().unwrap()
 }
 
-fn text(bytes: &[u8]) -> String {
+fn lossy_text(bytes: &[u8]) -> String {
     String::from_utf8_lossy(bytes).into_owned()
 }
 
@@ -30,11 +30,11 @@
     let run_seeds = |name: &str, jobs: &str| {
         let path = temporary_file(name);
         let output = run_lab(&["seeds", "--count", "200", "--jobs", jobs, "--json", path.to_str().unwrap()]);
-        assert!(output.status.success(), "{}{}", text(&output.stdout), text(&output.stderr));
+        assert!(output.status.success(), "{}{}", lossy_text(&output.stdout), lossy_text(&output.stderr));
         std::fs::read_to_string(path).unwrap()
     };
     let four_threads = run_seeds("four.json", "4");
-    let three_threads = run_seeds("some.json", "3");
+    let three_threads = run_seeds("three.json", "3");
     assert!(three_threads == four_threads, "the results of equal seeds differ between 3 and 4 threads");
     let digests: std::collections::BTreeSet<&str> =
         four_threads.split("\"digest\":\"").skip(1).map(|rest| &rest[..16]).collect();
@@ -73,7 +73,7 @@
 /// Guards against an observer that misses a broken rule: each defect must break one in the first 60 seeds.
 #[test]
 fn planted_defects_break_a_rule_within_60_seeds() {
-    for (name, defect) in DEFECTS.iter().filter(|(name, _)| DETECTED.contains(name)) {
+    for (name, defect) in DEFECTS.iter().filter(|(name, _)| DETECTED_DEFECTS.contains(name)) {
         let detecting_seed = (0..60).find(|&seed| {
             let options = Options {
                 component_factory: Some(defect.component_factory()),
@@ -107,7 +107,7 @@
     for (script, line, key) in cases {
         std::fs::write(&path, &script).unwrap();
         let output = run_lab(&["replay", name]);
-        let stderr = text(&output.stderr);
+        let stderr = lossy_text(&output.stderr);
         assert_eq!(output.status.code(), Some(2), "{stderr}");
         assert_eq!(stderr.lines().count(), 1, "{stderr}");
         assert!(stderr.contains(name) && stderr.contains(key), "{key}: {stderr}");
@@ -120,7 +120,7 @@
 fn invalid_seed_prints_one_line_and_exits_with_code_2() {
     for arguments in [["replay", "seven"], ["digest", "-1"], ["script", "1.5"]] {
         let output = run_lab(&arguments);
-        let stderr = text(&output.stderr);
+        let stderr = lossy_text(&output.stderr);
         assert_eq!(output.status.code(), Some(2), "{stderr}");
         assert_eq!(stderr.lines().count(), 1, "{stderr}");
         assert!(stderr.contains(arguments[1]), "{stderr}");
