--- a/crates/lab/tests/common/mod.rs
+++ b/crates/lab/tests/common/mod.rs
@@ -2,7 +2,8 @@
 
 use pierloom_world::script::{BackendSpec, ClientSpec, Contract, FORMAT, LinkSpec, ProxySpec, Script};
 
-/// Two proxies, six backends, and this many clients, one every `gap_ms`; no faults.
+/// A script of two proxies, six backends and `clients` clients, without faults. One client connects every
+/// `gap_ms`.
 pub fn script_without_faults(clients: u64, gap_ms: u64) -> Script {
     let backend = |i: usize| BackendSpec {
         name: format!("label-{i}"),
--- a/crates/lab/tests/hard_cases.rs
+++ b/crates/lab/tests/hard_cases.rs
@@ -14,7 +14,7 @@
 
 /// Runs the script once for each of `orders` event orders, and checks that no rule broke.
 /// Returns the reports, with their traces.
-fn play_without_violations(script: &Script, orders: u64) -> Vec<Report> {
+fn run_without_violations(script: &Script, orders: u64) -> Vec<Report> {
     (0..orders)
         .map(|order| {
             let script = Script { order_seed: order, ..script.clone() };
@@ -55,21 +55,26 @@
         assert!(sim.run_until(end));
         fired.borrow()[0]
     };
-    let orders: Vec<&str> = (0..16).map(first_to_fire).collect();
-    assert!(orders.contains(&"a") && orders.contains(&"b"), "{orders:?}");
-    assert_eq!(orders, (0..16).map(first_to_fire).collect::<Vec<_>>(), "the order differs for equal seeds");
-    // The same in a whole run: all clients connect at the same instant, on links without jitter.
+    let first_timers: Vec<&str> = (0..16).map(first_to_fire).collect();
+    assert!(first_timers.contains(&"a") && first_timers.contains(&"b"), "{first_timers:?}");
+    assert_eq!(
+        first_timers,
+        (0..16).map(first_to_fire).collect::<Vec<_>>(),
+        "the order differs for equal seeds"
+    );
+    // The event order of a whole run depends on the seed as well: all clients connect at the same instant, on
+    // links without jitter.
     let mut script = script_without_faults(60, 0);
     script.links.jitter = 0.0;
-    let reports = play_without_violations(&script, 8);
+    let reports = run_without_violations(&script, 8);
     assert!(reports.iter().any(|report| report.digest != reports[0].digest));
 }
 
 /// Guards against a broken rule when a client or a backend resets its connection and bytes that it sent
-/// before are lost. Every reset overtakes what is in flight; clients reset as they send, and backends
+/// before are lost. Every reset overtakes the bytes in flight; clients reset as they send, and backends
 /// crash.
 #[test]
-fn bytes_lost_at_a_reset_from_either_side_keep_every_rule() {
+fn reset_that_loses_bytes_from_either_side_keeps_every_rule() {
     let mut script = script_without_faults(80, 100);
     (script.links.lossy, script.links.same_us, script.links.cross_us) = (1.0, 20_000, 60_000);
     // Clients send a line every two seconds. Lifetimes differ by 40 ms, so that some end just as a line has
@@ -85,7 +90,7 @@
             script.faults.push(Fault::Crash { node: backend, at_ms, until_ms: Some(at_ms + 500) });
         }
     }
-    let reports = play_without_violations(&script, 6);
+    let reports = run_without_violations(&script, 6);
     // Bytes that hosts of this name sent to a proxy before they reset the connection, and that never arrived.
     let lost_bytes = |sender: &str| {
         let mut lost = 0;
@@ -129,7 +134,7 @@
             until_ms: Some(at_ms + 6_000),
         });
     }
-    let reports = play_without_violations(&script, 4);
+    let reports = run_without_violations(&script, 4);
     let mut occurrences = 0;
     for report in &reports {
         let trace_lines: Vec<(Micros, &str)> =
@@ -170,8 +175,8 @@
         let at_ms = 4_000 + i * 1_500;
         script.faults.push(Fault::Crash { node: backend, at_ms, until_ms: Some(at_ms + 400) });
     }
-    let reports = play_without_violations(&script, 6);
-    // The restarted backend answers probes.
+    let reports = run_without_violations(&script, 6);
+    // The backend label-0 is back 4.4 s after the start, and then answers probes.
     let answers = reports.iter().flat_map(|report| &report.trace_lines);
     let answers = answers.filter(|line| line.contains("label-0 reaches p") && line.contains("PONG x0"));
     assert!(answers.map(|line| parse_trace_line(line).0).any(|at| at > 4_400_000));
@@ -187,13 +192,13 @@
         script.faults.push(Fault::Reload { at_ms: 6_000 });
         script.faults.push(Fault::Restart { proxy: 0, at_ms: 6_000 + gap_ms, until_ms: 12_000 });
         script.faults.push(Fault::BadReload { proxy: 1, at_ms: 6_000 + gap_ms });
-        let reports = play_without_violations(&script, 3);
+        let reports = run_without_violations(&script, 3);
         assert!(reports.iter().all(|report| report.counts.moves > 0), "the stop moved no client");
     }
 }
 
-/// Guards against a broken rule when discovery is cut off while it reports a drain: it falls silent,
-/// without closing its connections, 0 to 50 ms after the backend begins to drain.
+/// Guards against a broken rule when discovery is cut off while it reports a drain: discovery
+/// falls silent, without closing its connections, 0 to 50 ms after the backend begins to drain.
 #[test]
 fn discovery_cut_off_while_reporting_a_drain_keeps_every_rule() {
     for gap_ms in [0, 1, 2, 50] {
@@ -202,7 +207,7 @@
         let (stop_ms, until_ms) = (11_000, Some(12_000));
         script.faults.push(Fault::Drain { node: backend, at_ms: 5_000, stop_ms, until_ms });
         script.faults.push(Fault::DiscoveryCut { at_ms: 5_000 + gap_ms, until_ms: 9_000 });
-        play_without_violations(&script, 3);
+        run_without_violations(&script, 3);
     }
 }
 
@@ -217,7 +222,7 @@
         client.leave_after_ms = Some(1 + i as u64 % 16);
         client.resets = i % 3 == 0;
     }
-    let reports = play_without_violations(&script, 4);
+    let reports = run_without_violations(&script, 4);
     let mut occurrences = 0;
     for report in &reports {
         let trace_lines: Vec<(Micros, &str)> =
@@ -256,7 +261,7 @@
             script.faults.push(Fault::Crash { node: backend, at_ms, until_ms: Some(at_ms + 800) });
         }
     }
-    let reports = play_without_violations(&script, 4);
+    let reports = run_without_violations(&script, 4);
     let mut occurrences = 0;
     for report in &reports {
         let trace_lines: Vec<(Micros, &str)> =
@@ -290,7 +295,7 @@
     for i in 0..6 {
         script.faults.push(Fault::Crash { node: format!("label-{i}"), at_ms: 6_000, until_ms: Some(9_000) });
     }
-    let reports = play_without_violations(&script, 6);
+    let reports = run_without_violations(&script, 6);
     for report in &reports {
         let occurs_after = |seconds: f64, text: &str| {
             report
@@ -321,6 +326,6 @@
         stop_ms: 9_000,
         until_ms: Some(11_000),
     });
-    let reports = play_without_violations(&script, 4);
+    let reports = run_without_violations(&script, 4);
     assert!(reports.iter().all(|report| report.counts.refused > 10), "no more than 10 clients were refused");
 }
--- a/crates/lab/tests/real.rs
+++ b/crates/lab/tests/real.rs
@@ -9,7 +9,7 @@
 
 /// Checks that each client gets the same answers in both runs, and that the service values differ by at most
 /// `tolerance`.
-fn assert_same_on_real_sockets(script: &Script, tolerance: f64) {
+fn assert_same_answers_on_real_sockets(script: &Script, tolerance: f64) {
     let simulated = run_script(script, &Options::default());
     assert!(simulated.violations.is_empty(), "{:#?}", simulated.violations);
     let real = real::run_script(script).unwrap();
@@ -37,7 +37,7 @@
 /// Guards against a simulation in which clients get other answers than on real sockets, without faults.
 #[test]
 fn script_without_faults_gives_the_same_answers_on_real_sockets() {
-    assert_same_on_real_sockets(&short_script(), 0.05);
+    assert_same_answers_on_real_sockets(&short_script(), 0.05);
 }
 
 /// Guards against a simulation in which clients get other answers than on real sockets when a backend
@@ -49,5 +49,5 @@
     script.faults.push(Fault::Crash { node: "label-1".into(), at_ms: 5_200, until_ms: Some(7_000) });
     script.faults.push(Fault::Slow { node: "label-2".into(), at_ms: 2_000, until_ms: 6_000, factor: 2.0 });
     script.faults.push(Fault::LateReports { at_ms: 1_000, until_ms: 6_000, by_ms: 2_000 });
-    assert_same_on_real_sockets(&script, 0.08);
+    assert_same_answers_on_real_sockets(&script, 0.08);
 }
