--- a/crates/world/src/backend.rs
+++ b/crates/world/src/backend.rs
@@ -13,9 +13,9 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Load of an average connection, in microseconds of work per second. About fourteen such connections fill a
-/// core.
-const MEAN_LOAD_US: f64 = 60_000.0;
+/// Load of an average connection, as LOAD lines state it; microseconds of work per second. About fourteen
+/// such connections fill a reference core of a generated backend.
+const MEAN_LOAD_US_PER_SECOND: f64 = 60_000.0;
 /// Longest delay of a message, however overloaded the backend is.
 const MAX_MESSAGE_DELAY_US: f64 = 3e6;
 /// Share of the capacity beyond which message delays grow steeply.
@@ -151,12 +151,12 @@
 
     /// Returns the delay of a message.
     fn message_delay(&self) -> Micros {
-        let (utilization, work) =
+        let (utilization, work_us) =
             (self.utilization(), self.spec.message_ms * 1e3 / self.spec.speed / self.current_speed_share());
-        let waits = work / (1.0 - utilization.min(SATURATION_SHARE))
+        let delay_us = work_us / (1.0 - utilization.min(SATURATION_SHARE))
             + (utilization - SATURATION_SHARE).max(0.0) * 1e6;
         let noise = 0.8 + 0.4 * self.rng.borrow_mut().random::<f64>();
-        (waits * noise).min(MAX_MESSAGE_DELAY_US) as Micros
+        (delay_us * noise).min(MAX_MESSAGE_DELAY_US) as Micros
     }
 
     /// Returns the newest load report that is old enough to be visible, after adding a report if one is due.
@@ -165,12 +165,12 @@
         let mut reports = self.reports.borrow_mut();
         if reports.last().is_none_or(|(at, _)| at + self.spec.report_ms * 1_000 <= now) {
             let noise_factor = 1.0 + self.spec.noise * (self.rng.borrow_mut().random::<f64>() * 2.0 - 1.0);
-            let (utilization, work) = (
+            let (utilization, work_ms) = (
                 self.utilization() * noise_factor,
                 self.spec.message_ms / self.spec.speed / self.current_speed_share(),
             );
             let text =
-                format!("x0={utilization:.4},latency_ms={work:.2},eps=0,util={:.3}", utilization.min(1.0));
+                format!("x0={utilization:.4},latency_ms={work_ms:.2},eps=0,util={:.3}", utilization.min(1.0));
             reports.push((now, text));
         }
         let visible_until = now.saturating_sub(self.degradation.report_delay.get());
@@ -208,14 +208,14 @@
             let _ = write_all(&lines.stream, text.as_bytes()).await;
             return;
         }
-        let work = self.spec.setup_ms * 1e3
+        let work_us = self.spec.setup_ms * 1e3
             / f64::from(self.spec.cores)
             / self.spec.speed
             / self.current_speed_share();
-        let ready = self.setup_free_at.get().max(now) + work as Micros;
-        self.setup_free_at.set(ready);
+        let ready_at = self.setup_free_at.get().max(now) + work_us as Micros;
+        self.setup_free_at.set(ready_at);
         self.setups_in_progress.set(self.setups_in_progress.get() + 1);
-        self.host.sleep_until(ready).await;
+        self.host.sleep_until(ready_at).await;
         self.setups_in_progress.set(self.setups_in_progress.get() - 1);
         if self.host.now() > now + timeout || self.draining.get() {
             let _ = write_all(&lines.stream, b"BUSY\r\n").await;
@@ -263,7 +263,7 @@
                             .rng
                             .borrow_mut()
                             .random_range(LOAD_CHANGE_INTERVAL_US / 4..LOAD_CHANGE_INTERVAL_US);
-                    let text = format!("LOAD {:.0}\r\n", load * MEAN_LOAD_US);
+                    let text = format!("LOAD {:.0}\r\n", load * MEAN_LOAD_US_PER_SECOND);
                     if write_all(&stream, text.as_bytes()).await.is_err() {
                         return;
                     }
--- a/crates/world/src/client.rs
+++ b/crates/world/src/client.rs
@@ -92,8 +92,8 @@
     pub attempt_count: Cell<u32>,
 }
 
-/// Result of one connection.
-enum AttemptOutcome {
+/// Result of one connection of a client to a proxy.
+enum ConnectionResult {
     /// The client left, at the end of its life or before it got an answer.
     Completed,
     /// The proxy or the backend sent MOVE and ended the connection.
@@ -120,24 +120,24 @@
         let life_end = started_at + self.spec.life_ms * 1_000;
         let (mut reconnecting, mut is_retry, mut retries_left) = (false, false, self.spec.retries);
         while self.host.now() < life_end {
-            let outcome = self.attempt(life_end, reconnecting, is_retry).await;
+            let outcome = self.run_connection(life_end, reconnecting, is_retry).await;
             is_retry = false;
             let pause = match outcome {
-                AttemptOutcome::Completed => break,
-                AttemptOutcome::Moved => {
+                ConnectionResult::Completed => break,
+                ConnectionResult::Moved => {
                     reconnecting = true;
                     self.outcome.borrow_mut().moved += 1;
                     self.random_delay(MOVE_RECONNECT_DELAY_US)
                 }
-                AttemptOutcome::Disconnected => {
+                ConnectionResult::Disconnected => {
                     reconnecting = true;
                     self.outcome.borrow_mut().cut += 1;
                     self.random_delay(RECONNECT_DELAY_US)
                 }
-                AttemptOutcome::Busy(_) | AttemptOutcome::Failed if retries_left > 0 => {
+                ConnectionResult::Busy(_) | ConnectionResult::Failed if retries_left > 0 => {
                     (retries_left, is_retry) = (retries_left - 1, true);
                     match outcome {
-                        AttemptOutcome::Busy(Some(retry_after)) => retry_after.min(2_000_000),
+                        ConnectionResult::Busy(Some(retry_after)) => retry_after.min(2_000_000),
                         _ => self.random_delay(RETRY_DELAY_US),
                     }
                 }
@@ -152,12 +152,12 @@
     }
 
     /// Connects, sends one request, and keeps the connection if the request is served.
-    async fn attempt(&self, life_end: Micros, reconnecting: bool, is_retry: bool) -> AttemptOutcome {
+    async fn run_connection(&self, life_end: Micros, reconnecting: bool, is_retry: bool) -> ConnectionResult {
         let proxy = self.proxy_selector.pick(self.spec.zone, &mut self.rng.borrow_mut());
-        let Some(proxy) = proxy else { return AttemptOutcome::Failed };
+        let Some(proxy) = proxy else { return ConnectionResult::Failed };
         let timeout = self.deadline_ms * 1_000;
         let connected = with_deadline(&self.host, self.host.now() + timeout, self.host.connect(proxy)).await;
-        let Some(Ok(stream)) = connected else { return AttemptOutcome::Failed };
+        let Some(Ok(stream)) = connected else { return ConnectionResult::Failed };
         let mut lines = LineReader::new(stream);
         let attempt_count = self.attempt_count.replace(self.attempt_count.get() + 1);
         let (id, key, group) =
@@ -170,7 +170,7 @@
         );
         let stream = lines.stream.clone();
         if write_all(&stream, request_line.as_bytes()).await.is_err() {
-            return AttemptOutcome::Failed;
+            return ConnectionResult::Failed;
         }
         let sent_at = self.host.now();
         let leave_at = self.spec.leave_after_ms.map(|ms| sent_at + ms * 1_000);
@@ -189,15 +189,15 @@
             'B' => {
                 let line = answer.flatten().unwrap_or_default();
                 let retry_after_ms = line.split(' ').nth(1).and_then(|ms| ms.parse::<u64>().ok());
-                return AttemptOutcome::Busy(retry_after_ms.map(|ms| ms * 1_000));
+                return ConnectionResult::Busy(retry_after_ms.map(|ms| ms * 1_000));
             }
             _ if leave_at.is_some() => {
                 if self.spec.resets {
                     stream.reset_on_close();
                 }
-                return AttemptOutcome::Completed;
+                return ConnectionResult::Completed;
             }
-            _ => return AttemptOutcome::Failed,
+            _ => return ConnectionResult::Failed,
         }
         let established_at = self.host.now();
         let outcome = self.run_established(&mut lines, life_end).await;
@@ -207,7 +207,7 @@
 
     /// Sends a line every two seconds on an established connection, until the end of the client's life or of
     /// the connection.
-    async fn run_established(&self, lines: &mut LineReader, life_end: Micros) -> AttemptOutcome {
+    async fn run_established(&self, lines: &mut LineReader, life_end: Micros) -> ConnectionResult {
         let stream = lines.stream.clone();
         let mut next_line_at = self.host.now() + self.random_delay(0..LINE_INTERVAL_US);
         let mut sent_times = std::collections::VecDeque::new();
@@ -226,8 +226,8 @@
                 line = read_line => {
                     read_at = self.host.now() + pause;
                     match line.as_deref() {
-                        None if moved => return AttemptOutcome::Moved,
-                        None => return AttemptOutcome::Disconnected,
+                        None if moved => return ConnectionResult::Moved,
+                        None => return ConnectionResult::Disconnected,
                         Some("MOVE") => moved = true,
                         Some(line) if line.starts_with("NEWS ") => {
                             let mut outcome = self.outcome.borrow_mut();
@@ -247,7 +247,7 @@
                     sent_times.push_back(self.host.now());
                     self.outcome.borrow_mut().lines += 1;
                     if write_all(&stream, b"SEEN\r\n").await.is_err() {
-                        return if moved { AttemptOutcome::Moved } else { AttemptOutcome::Disconnected };
+                        return if moved { ConnectionResult::Moved } else { ConnectionResult::Disconnected };
                     }
                 }
             }
@@ -258,7 +258,7 @@
             let discard = async { while lines.next_line().await.is_some() {} };
             with_deadline(&self.host, self.host.now() + CLOSE_TIMEOUT_US, discard).await;
         }
-        AttemptOutcome::Completed
+        ConnectionResult::Completed
     }
 
     /// Breaks the protocol, and reads everything that the proxy sends.
--- a/crates/world/src/lib.rs
+++ b/crates/world/src/lib.rs
@@ -1,5 +1,6 @@
 #![forbid(unsafe_code)]
-//! Deterministic simulation of the load balancer.
+//! Simulated worlds that test the proxy: deterministic on a virtual clock (`run`), or in real time on sockets
+//! (`real`).
 //!
 //! A seeded world runs the production network code on a virtual clock and a simulated network, with models of
 //! backends, clients and discovery, and injects scripted faults. The rules are checked from outside the
