--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -84,7 +84,7 @@
     if Path::new(seed_or_script).extension().is_some_and(|extension| extension == "toml") {
         let text =
             std::fs::read_to_string(seed_or_script).map_err(|error| format!("{seed_or_script}: {error}"))?;
-        return Script::read(seed_or_script, &text);
+        return Script::parse(seed_or_script, &text);
     }
     parse_seed(seed_or_script).map(generate_script)
 }
--- a/crates/lab/tests/common/mod.rs
+++ b/crates/lab/tests/common/mod.rs
@@ -47,10 +47,10 @@
             deadline_ms: 4_800,
             target_ms: 800,
             message_ms: 60,
-            cold_from: 0.3,
-            cold_ms: 9_000,
-            fall_multiple: 4.0,
-            fall_ms: 1_500,
+            slow_start_min_share: 0.3,
+            slow_start_ms: 9_000,
+            overload_multiple: 4.0,
+            overload_window_ms: 1_500,
         },
         proxies: (0..2)
             .map(|i| ProxySpec { zone: i, descriptors: 512, configured_descriptors: None, seed: i as u64 })
--- a/crates/lab/tests/seeds.rs
+++ b/crates/lab/tests/seeds.rs
@@ -49,7 +49,7 @@
     for entry in std::fs::read_dir(folder).unwrap() {
         let path = entry.unwrap().path();
         let script = std::fs::read_to_string(&path).unwrap();
-        let script = Script::read(path.to_str().unwrap(), &script).unwrap();
+        let script = Script::parse(path.to_str().unwrap(), &script).unwrap();
         let report = run_script(&script, &Options::default());
         assert!(report.violations.is_empty(), "{}: {:#?}", path.display(), report.violations);
         script_count += 1;
@@ -63,7 +63,7 @@
 fn printed_script_gives_the_same_digest_as_its_seed() {
     for seed in 0..5 {
         let generated = generate_script(seed);
-        let read = Script::read("printed", &generated.to_toml()).unwrap();
+        let read = Script::parse("printed", &generated.to_toml()).unwrap();
         assert_eq!(read, generated);
         let digest = |script| run_script(script, &Options::default()).digest;
         assert_eq!(digest(&read), digest(&generated));
--- a/crates/world/src/generate.rs
+++ b/crates/world/src/generate.rs
@@ -30,10 +30,10 @@
         deadline_ms: 4_800,
         target_ms: 800,
         message_ms: 60,
-        cold_from: 0.3,
-        cold_ms: 9_000,
-        fall_multiple: 4.0,
-        fall_ms: 1_500,
+        slow_start_min_share: 0.3,
+        slow_start_ms: 9_000,
+        overload_multiple: 4.0,
+        overload_window_ms: 1_500,
     };
     let proxies: Vec<ProxySpec> = (0..rng.random_range(2..=4))
         .map(|index| ProxySpec {
--- a/crates/world/src/real.rs
+++ b/crates/world/src/real.rs
@@ -142,8 +142,10 @@
         let (script, degradations, addresses) = (script.clone(), degradations.clone(), addresses.clone());
         move |index: usize, since: Option<Micros>| -> Option<(KillHandle, Rc<Backend>)> {
             let (host, kill) = process("");
-            let slow_start =
-                SlowStart { min_share: script.contract.cold_from, duration: script.contract.cold_ms * 1_000 };
+            let slow_start = SlowStart {
+                min_share: script.contract.slow_start_min_share,
+                duration: script.contract.slow_start_ms * 1_000,
+            };
             let rng = stream(
                 script.order_seed,
                 &format!("{} {}", script.backends[index].name, u64::from(since.is_some())),
--- a/crates/world/src/run.rs
+++ b/crates/world/src/run.rs
@@ -168,8 +168,10 @@
                    "may-probe": true},
         "classes": [{"name": "status-feed", "target": seconds(contract.target_ms),
                      "deadline": seconds(contract.deadline_ms), "effect": "repeatable", "group": "all"}],
-        "contract": {"ask-within": 10.0, "cold": seconds(contract.cold_ms), "cold-from": contract.cold_from,
-                     "fall": seconds(contract.fall_ms), "fall-multiple": contract.fall_multiple},
+        "contract": {"ask-within": 10.0, "cold": seconds(contract.slow_start_ms),
+                     "cold-from": contract.slow_start_min_share,
+                     "fall": seconds(contract.overload_window_ms),
+                     "fall-multiple": contract.overload_multiple},
         "family-info": {"groups": true, "message-aim": [seconds(contract.message_ms)]},
         "feedback": {"columns": ["x0", "latency_ms", "eps", "util"], "how": "probe"},
         "penalties": {"cross-zone": 0.08},
@@ -192,10 +194,10 @@
     };
     let contract = &script.contract;
     let slow_start_rule = SlowStartRule {
-        min_share: contract.cold_from,
-        duration: contract.cold_ms * 1_000,
-        overload_multiple: contract.fall_multiple,
-        overload_window: contract.fall_ms * 1_000,
+        min_share: contract.slow_start_min_share,
+        duration: contract.slow_start_ms * 1_000,
+        overload_multiple: contract.overload_multiple,
+        overload_window: contract.overload_window_ms * 1_000,
     };
     let names: Vec<String> = script.backends.iter().map(|backend| backend.name.clone()).collect();
     let observer = Observer::new(script.proxies.len(), &names, slow_start_rule, options.trace);
@@ -320,7 +322,8 @@
         let (id, host) = self.sim.start(ProcessOptions::plain(&spec.name, spec.zone, address.ip()));
         self.sim.observer.borrow_mut().register_process(id, Role::Backend(index), &spec.name);
         let contract = &self.script.contract;
-        let slow_start = SlowStart { min_share: contract.cold_from, duration: contract.cold_ms * 1_000 };
+        let slow_start =
+            SlowStart { min_share: contract.slow_start_min_share, duration: contract.slow_start_ms * 1_000 };
         let rng = stream(self.script.order_seed, &format!("{} {}", spec.name, slow_start_since.unwrap_or(0)));
         let degradation = self.degradations[index].clone();
         let backend =
--- a/crates/world/src/script.rs
+++ b/crates/world/src/script.rs
@@ -65,13 +65,17 @@
     /// Target for the delay of a message; milliseconds.
     pub message_ms: u64,
     /// Share of its capacity that a backend has when slow start begins; 0.01 to 1.
-    pub cold_from: f64,
+    #[serde(rename = "cold_from")]
+    pub slow_start_min_share: f64,
     /// Duration of slow start; milliseconds.
-    pub cold_ms: u64,
+    #[serde(rename = "cold_ms")]
+    pub slow_start_ms: u64,
     /// Multiple of its current capacity beyond which a backend overloads...
-    pub fall_multiple: f64,
+    #[serde(rename = "fall_multiple")]
+    pub overload_multiple: f64,
     /// ...if the excess lasts this long; milliseconds.
-    pub fall_ms: u64,
+    #[serde(rename = "fall_ms")]
+    pub overload_window_ms: u64,
 }
 
 /// A proxy.
@@ -136,9 +140,10 @@
     pub group: u64,
     /// Time for which the client wants to be connected; milliseconds.
     pub life_ms: u64,
-    /// Load of its connection, as a multiple of the mean connection's load.
+    /// Load of its connection, as a multiple of the mean connection's load. Scripts state it, but it is not
+    /// used: the backend model draws the load of each connection itself.
     pub load: f64,
-    /// Number of times that the client retries after a failure.
+    /// Number of retries after refusals or failures until the client pauses and starts a new request.
     #[serde(default)]
     pub retries: u32,
     /// The way in which the client violates the protocol, if it does.
@@ -394,19 +399,19 @@
 
 impl Script {
     /// Parses a script. An error is one line that names the file, the line and the key.
-    pub fn read(name: &str, text: &str) -> Result<Self, String> {
+    pub fn parse(file_name: &str, text: &str) -> Result<Self, String> {
         let line_number = |offset: usize| text.get(..offset).unwrap_or(text).matches('\n').count() + 1;
         let format_error = |key: &str, e: &toml::de::Error| {
             let at = line_number(e.span().map_or(0, |span| span.start));
             let key = if key.is_empty() || key == "." { String::new() } else { format!("{key}: ") };
-            format!("{name}: line {at}: {key}{}", e.message().replace('\n', " "))
+            format!("{file_name}: line {at}: {key}{}", e.message().replace('\n', " "))
         };
         let deserializer = toml::Deserializer::parse(text).map_err(|e| format_error("", &e))?;
         let script: Script = serde_path_to_error::deserialize(deserializer).map_err(|e| {
             let key = e.path().to_string();
             match find_in_fault(text, &key, e.inner().message()) {
                 Some((at, key_in_fault)) => {
-                    format!("{name}: line {at}: {key}.{key_in_fault}: {}", e.inner().message())
+                    format!("{file_name}: line {at}: {key}.{key_in_fault}: {}", e.inner().message())
                 }
                 None => format_error(&key, e.inner()),
             }
@@ -414,7 +419,7 @@
         script.check().map_err(|(table, index, key, reason)| {
             let at = line_of_key(text, table, index, key);
             let table = if table.is_empty() { String::new() } else { format!("{table}[{index}].") };
-            format!("{name}: line {at}: {table}{key}: {reason}")
+            format!("{file_name}: line {at}: {table}{key}: {reason}")
         })?;
         Ok(script)
     }
@@ -424,7 +429,8 @@
         toml::to_string(self).unwrap_or_else(|e| format!("# {e}\n"))
     }
 
-    /// The first invalid value: the table, the index of the entry in the table, the key, and the reason.
+    /// Checks all values. The error is the first invalid one: its table, the entry's index in the table, its
+    /// key and the reason.
     fn check(&self) -> Result<(), (&'static str, usize, &'static str, String)> {
         let require = |valid: bool, key, reason: &str| {
             if valid { Ok(()) } else { Err(("", 0, key, reason.to_string())) }
@@ -435,7 +441,11 @@
         require((0.0..=10.0).contains(&self.links.jitter), "jitter", "not within 0 to 10")?;
         require((0.0..=1.0).contains(&self.links.partial), "partial", "not within 0 to 1")?;
         require((0.0..=1.0).contains(&self.links.lossy), "lossy", "not within 0 to 1")?;
-        require((0.01..=1.0).contains(&self.contract.cold_from), "cold_from", "not within 0.01 to 1")?;
+        require(
+            (0.01..=1.0).contains(&self.contract.slow_start_min_share),
+            "cold_from",
+            "not within 0.01 to 1",
+        )?;
         require(self.contract.deadline_ms >= 100, "deadline_ms", "less than 100")?;
         require(!self.proxies.is_empty(), "proxy", "at least one is required")?;
         require(!self.backends.is_empty(), "node", "at least one is required")?;
