--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -92,7 +92,7 @@
 /// Prints the broken rules with the events that preceded them, and one line of totals.
 fn print_report(report: &Report) {
     for violation in &report.violations {
-        println!("{:?} at {:.6} s: {}", violation.rule, violation.at as f64 / 1e6, violation.what);
+        println!("{:?} at {:.6} s: {}", violation.rule, violation.at as f64 / 1e6, violation.description);
         violation.preceding_events.iter().for_each(|line| println!("    {line}"));
     }
     let counts = &report.counts;
--- a/crates/lab/src/seeds.rs
+++ b/crates/lab/src/seeds.rs
@@ -82,7 +82,7 @@
         first_violation: report
             .violations
             .first()
-            .map(|violation| format!("{:.3} s: {}", violation.at as f64 / 1e6, violation.what)),
+            .map(|violation| format!("{:.3} s: {}", violation.at as f64 / 1e6, violation.description)),
         proxies: script.proxies.len(),
         backends: script.backends.len(),
         clients: script.clients.len(),
--- a/crates/world/src/net.rs
+++ b/crates/world/src/net.rs
@@ -442,7 +442,7 @@
             self.send(connection, end, segment);
         }
         if was_reset {
-            self.observer.borrow_mut().closed(self.now(), connection, end);
+            self.observer.borrow_mut().closed_after_reset(self.now(), connection, end);
         }
     }
 }
--- a/crates/world/src/observer.rs
+++ b/crates/world/src/observer.rs
@@ -11,7 +11,7 @@
 use xxhash_rust::xxh3::Xxh3;
 
 /// Tolerance added to each time limit.
-const GRACE_US: Micros = 50_000;
+const TIME_LIMIT_TOLERANCE_US: Micros = 50_000;
 /// A proxy may start attempts at a backend for this long after discovery reported the backend as draining or
 /// gone.
 const DRAIN_WINDOW_US: Micros = 1_000_000;
@@ -129,7 +129,8 @@
     /// Time since the start of the run.
     pub at: Micros,
     /// Description of the violation and the names of the parties.
-    pub what: String,
+    #[serde(rename = "what")]
+    pub description: String,
     /// Last network events between the parties, as text.
     #[serde(rename = "led_to")]
     pub preceding_events: Vec<String>,
@@ -242,7 +243,8 @@
     answer_count: u32,
     established: bool,
     moved: bool,
-    /// Number of bytes of the proxy's own MOVE line sent; more than its length after other unexpected bytes.
+    /// Number of bytes sent of the proxy's own MOVE line; the line's length plus one after a `Rule::Changed`
+    /// violation for other bytes.
     move_bytes_sent: usize,
     /// Time at which the client's end of stream or reset arrived at the proxy.
     client_ended_at: Option<Micros>,
@@ -260,7 +262,7 @@
 
 /// State of a connection from a proxy to a backend.
 #[derive(Default)]
-struct Attempt {
+struct BackendConnection {
     proxy: usize,
     backend: usize,
     first_line: Vec<u8>,
@@ -279,7 +281,7 @@
 
 /// State of a connection from a proxy to discovery.
 #[derive(Default)]
-struct DiscoveryCall {
+struct DiscoveryConnection {
     proxy: usize,
     request: Vec<u8>,
     response: Vec<u8>,
@@ -291,8 +293,8 @@
 
 enum ConnectionKind {
     Client(ClientConnection),
-    Attempt(Attempt),
-    DiscoveryCall(DiscoveryCall),
+    Backend(BackendConnection),
+    Discovery(DiscoveryConnection),
     Other,
 }
 
@@ -477,7 +479,7 @@
             {
                 continue;
             }
-            let attempt = client.attempt.and_then(|attempt| self.attempt(attempt));
+            let attempt = client.attempt.and_then(|attempt| self.backend_connection(attempt));
             let backend_ended = attempt.is_some_and(|attempt| {
                 attempt.backend_ended_at.is_some() || !self.backends[attempt.backend].state.reachable
             });
@@ -510,18 +512,18 @@
     }
 
     /// Records a violation that was found elsewhere.
-    pub fn report_violation(&mut self, rule: Rule, what: String) {
-        self.record_violation(rule, None, what);
+    pub fn report_violation(&mut self, rule: Rule, description: String) {
+        self.record_violation(rule, None, description);
     }
 
-    fn record_violation(&mut self, rule: Rule, connection: Option<usize>, what: String) {
+    fn record_violation(&mut self, rule: Rule, connection: Option<usize>, description: String) {
         if self.violations.len() >= MAX_VIOLATIONS {
             return;
         }
         let parties = connection.map(|c| {
             let partner = match &self.connections[c].kind {
                 ConnectionKind::Client(client) => client.attempt,
-                ConnectionKind::Attempt(attempt) => attempt.client_connection,
+                ConnectionKind::Backend(attempt) => attempt.client_connection,
                 _ => None,
             };
             (c, partner)
@@ -542,7 +544,12 @@
             let connection = &self.connections[c];
             format!(" [{} - {}]", self.roles[connection.from].1, self.roles[connection.to].1)
         });
-        self.violations.push(Violation { rule, at: self.now - EPOCH, what: what + &ends, preceding_events });
+        self.violations.push(Violation {
+            rule,
+            at: self.now - EPOCH,
+            description: description + &ends,
+            preceding_events,
+        });
     }
 
     /// Formats a network event as a trace line.
@@ -643,14 +650,14 @@
                 })
             }
             (Role::Proxy(proxy), Role::Backend(backend)) => {
-                ConnectionKind::Attempt(Attempt { proxy, backend, ..Attempt::default() })
+                ConnectionKind::Backend(BackendConnection { proxy, backend, ..BackendConnection::default() })
             }
             (Role::Proxy(proxy), Role::Discovery) => {
-                ConnectionKind::DiscoveryCall(DiscoveryCall { proxy, ..DiscoveryCall::default() })
+                ConnectionKind::Discovery(DiscoveryConnection { proxy, ..DiscoveryConnection::default() })
             }
             _ => ConnectionKind::Other,
         };
-        if matches!(kind, ConnectionKind::Client(_) | ConnectionKind::Attempt(_)) {
+        if matches!(kind, ConnectionKind::Client(_) | ConnectionKind::Backend(_)) {
             self.open_connections.push(connection);
         }
         self.connections.push(Connection { from, to, kind });
@@ -663,18 +670,19 @@
         self.record_event(connection, end, Phase::Sent, Some(segment));
         match (&mut self.connections[connection].kind, end) {
             (ConnectionKind::Client(client), 0) => client.sent_at = now,
-            (ConnectionKind::Client(_), _) => self.handle_answer_segment(connection, segment),
-            (ConnectionKind::Attempt(_), 0) => self.handle_attempt_segment(connection, segment),
-            (ConnectionKind::DiscoveryCall(_), 0) => self.handle_discovery_call(connection, segment),
+            (ConnectionKind::Client(_), _) => self.handle_segment_to_client(connection, segment),
+            (ConnectionKind::Backend(_), 0) => self.handle_segment_to_backend(connection, segment),
+            (ConnectionKind::Discovery(_), 0) => self.handle_discovery_call(connection, segment),
             _ => {}
         }
     }
 
-    /// Records that an end closes its connection. After a reset from the other end, a close sends no segment.
-    pub fn closed(&mut self, now: Micros, connection: usize, end: usize) {
+    /// Records that an end closes a connection that was reset. Such a close sends no segment; other closes
+    /// are seen by their segments.
+    pub fn closed_after_reset(&mut self, now: Micros, connection: usize, end: usize) {
         match (&mut self.connections[connection].kind, end) {
             (ConnectionKind::Client(client), 1) => drop(client.proxy_ended_at.get_or_insert(now)),
-            (ConnectionKind::Attempt(attempt), 0) => attempt.proxy_ended = true,
+            (ConnectionKind::Backend(attempt), 0) => attempt.proxy_ended = true,
             _ => {}
         }
     }
@@ -684,37 +692,37 @@
         self.now = now;
         self.record_event(connection, end, Phase::Arrived, Some(segment));
         match (&self.connections[connection].kind, end) {
-            (ConnectionKind::Client(_), 1) => self.handle_client_segment(connection, segment),
-            (ConnectionKind::Attempt(_), 0) => self.handle_backend_segment(connection, segment),
-            (ConnectionKind::Attempt(_), 1) => self.check_slow_start_limit(connection, segment),
-            (ConnectionKind::DiscoveryCall(_), 0) => self.handle_discovery_response(connection, segment),
+            (ConnectionKind::Client(_), 1) => self.handle_segment_from_client(connection, segment),
+            (ConnectionKind::Backend(_), 0) => self.handle_segment_from_backend(connection, segment),
+            (ConnectionKind::Backend(_), 1) => self.check_slow_start_limit(connection, segment),
+            (ConnectionKind::Discovery(_), 0) => self.handle_discovery_response(connection, segment),
             _ => {}
         }
     }
 
     fn client_connection(&mut self, connection: usize) -> Option<&mut ClientConnection> {
-        match self.connections.get_mut(connection).map(|line| &mut line.kind) {
+        match self.connections.get_mut(connection).map(|connection| &mut connection.kind) {
             Some(ConnectionKind::Client(client)) => Some(client),
             _ => None,
         }
     }
 
-    fn attempt(&self, connection: usize) -> Option<&Attempt> {
-        match self.connections.get(connection).map(|line| &line.kind) {
-            Some(ConnectionKind::Attempt(attempt)) => Some(attempt),
+    fn backend_connection(&self, connection: usize) -> Option<&BackendConnection> {
+        match self.connections.get(connection).map(|connection| &connection.kind) {
+            Some(ConnectionKind::Backend(attempt)) => Some(attempt),
             _ => None,
         }
     }
 
-    fn attempt_mut(&mut self, connection: usize) -> Option<&mut Attempt> {
-        match self.connections.get_mut(connection).map(|line| &mut line.kind) {
-            Some(ConnectionKind::Attempt(attempt)) => Some(attempt),
+    fn backend_connection_mut(&mut self, connection: usize) -> Option<&mut BackendConnection> {
+        match self.connections.get_mut(connection).map(|connection| &mut connection.kind) {
+            Some(ConnectionKind::Backend(attempt)) => Some(attempt),
             _ => None,
         }
     }
 
     /// Handles a segment from a client that arrives at a proxy.
-    fn handle_client_segment(&mut self, connection: usize, segment: &Segment) {
+    fn handle_segment_from_client(&mut self, connection: usize, segment: &Segment) {
         let now = self.now;
         let Some(client) = self.client_connection(connection) else { return };
         let Segment::Bytes(bytes) = segment else {
@@ -753,7 +761,7 @@
     }
 
     /// Handles a segment that a proxy sends to a client.
-    fn handle_answer_segment(&mut self, connection: usize, segment: &Segment) {
+    fn handle_segment_to_client(&mut self, connection: usize, segment: &Segment) {
         let now = self.now;
         let Some(client) = self.client_connection(connection) else { return };
         let proxy = client.proxy;
@@ -804,7 +812,7 @@
                     format!("{text:?} after a final answer"),
                 );
             }
-            if now > due + GRACE_US && !client_ended {
+            if now > due + TIME_LIMIT_TOLERANCE_US && !client_ended {
                 self.record_violation(
                     Rule::Unanswered,
                     Some(connection),
@@ -819,8 +827,9 @@
             if established {
                 let attempt =
                     request.and_then(|request| self.proxies[proxy].attempts.get(&request.0).copied());
-                let received =
-                    attempt.and_then(|attempt| self.attempt(attempt)).map(|attempt| attempt.received.clone());
+                let received = attempt
+                    .and_then(|attempt| self.backend_connection(attempt))
+                    .map(|attempt| attempt.received.clone());
                 if !received.as_ref().is_some_and(|received| received.starts_with(&line)) {
                     self.record_violation(
                         Rule::MadeUp,
@@ -830,7 +839,7 @@
                 }
                 let remaining = received
                     .map_or(Vec::new(), |received| received[line.len().min(received.len())..].to_vec());
-                if let Some(attempt) = attempt.and_then(|attempt| self.attempt_mut(attempt)) {
+                if let Some(attempt) = attempt.and_then(|attempt| self.backend_connection_mut(attempt)) {
                     attempt.client_connection = Some(connection);
                 }
                 if let Some(client) = self.client_connection(connection) {
@@ -855,7 +864,9 @@
             if byte == b'\n' {
                 client.unanswered_lines.pop_front();
                 let slow_reader = client.slow_reader;
-                if !slow_reader && received_at.is_some_and(|at| now > at + MAX_LINE_DELAY_US + GRACE_US) {
+                if !slow_reader
+                    && received_at.is_some_and(|at| now > at + MAX_LINE_DELAY_US + TIME_LIMIT_TOLERANCE_US)
+                {
                     self.record_violation(
                         Rule::HeldBack,
                         Some(connection),
@@ -876,13 +887,13 @@
             return;
         }
         let within_line = client.move_bytes_sent > 0 || !client.downstream_bytes.at_line_start;
-        let what = if byte == b'M' && within_line {
+        let description = if byte == b'M' && within_line {
             "a MOVE within a line"
         } else {
             "bytes that the backend did not send"
         };
         client.move_bytes_sent = MOVE.len() + 1;
-        self.record_violation(Rule::Changed, Some(connection), format!("{what} sent to the client"));
+        self.record_violation(Rule::Changed, Some(connection), format!("{description} sent to the client"));
     }
 
     /// Checks that the proxy may end a client connection.
@@ -909,7 +920,7 @@
             );
         } else if established && !moved {
             let attempt = self.client_connection(connection).and_then(|client| client.attempt);
-            let attempt = attempt.and_then(|attempt| self.attempt(attempt));
+            let attempt = attempt.and_then(|attempt| self.backend_connection(attempt));
             let backend_ended = attempt.is_none_or(|attempt| {
                 attempt.backend_ended_at.is_some()
                     || attempt.end_announced
@@ -922,9 +933,9 @@
     }
 
     /// Handles a segment that a proxy sends to a backend.
-    fn handle_attempt_segment(&mut self, connection: usize, segment: &Segment) {
+    fn handle_segment_to_backend(&mut self, connection: usize, segment: &Segment) {
         let now = self.now;
-        let Some(attempt) = self.attempt_mut(connection) else { return };
+        let Some(attempt) = self.backend_connection_mut(connection) else { return };
         let (proxy, backend) = (attempt.proxy, attempt.backend);
         let Segment::Bytes(bytes) = segment else {
             attempt.proxy_ended = true;
@@ -933,7 +944,7 @@
                 && self.proxies[proxy].attempts.get(&request_id) == Some(&connection)
             {
                 let client_connection =
-                    self.attempt(connection).and_then(|attempt| attempt.client_connection);
+                    self.backend_connection(connection).and_then(|attempt| attempt.client_connection);
                 if client_connection.is_none() {
                     self.proxies[proxy].attempts.remove(&request_id);
                 }
@@ -966,7 +977,7 @@
         self.counts.attempts += 1;
         let previous = self.proxies[proxy].attempts.insert(request_id.clone(), connection);
         let previous_in_progress = previous
-            .and_then(|previous| self.attempt(previous))
+            .and_then(|previous| self.backend_connection(previous))
             .is_some_and(|previous| !previous.proxy_ended && previous.backend_ended_at.is_none());
         if previous_in_progress {
             self.record_violation(
@@ -983,7 +994,7 @@
         {
             self.record_violation(Rule::MadeUp, Some(connection), "a first line that no client sent".into());
         }
-        if let Some(attempt) = self.attempt_mut(connection) {
+        if let Some(attempt) = self.backend_connection_mut(connection) {
             attempt.request_id = Some(request_id);
         }
         if let Some(client) = request.and_then(|request| self.client_connection(request)) {
@@ -996,10 +1007,11 @@
 
     /// Checks that a new attempt is not later than the drain window of its backend.
     fn check_drain_window(&mut self, proxy: usize, backend: usize, connection: usize, now: Micros) {
-        let is_request = self.attempt(connection).is_some_and(|attempt| attempt.first_line.starts_with(b"O"));
+        let is_request =
+            self.backend_connection(connection).is_some_and(|attempt| attempt.first_line.starts_with(b"O"));
         let reported_at = self.proxies[proxy].removal_reported_at.get(&backend).copied();
-        if let Some(reported_at) =
-            reported_at.filter(|reported_at| is_request && now > reported_at + DRAIN_WINDOW_US + GRACE_US)
+        if let Some(reported_at) = reported_at
+            .filter(|reported_at| is_request && now > reported_at + DRAIN_WINDOW_US + TIME_LIMIT_TOLERANCE_US)
         {
             let late = now - reported_at;
             self.record_violation(
@@ -1013,7 +1025,8 @@
     /// Checks bytes to the backend on an established connection.
     fn check_upstream_bytes(&mut self, connection: usize, bytes: &[u8]) {
         let now = self.now;
-        let Some(client_connection) = self.attempt(connection).and_then(|attempt| attempt.client_connection)
+        let Some(client_connection) =
+            self.backend_connection(connection).and_then(|attempt| attempt.client_connection)
         else {
             return;
         };
@@ -1031,7 +1044,7 @@
             }
             if byte == b'\n' {
                 client.unanswered_lines.push_back(now);
-                late |= received_at.is_some_and(|at| now > at + MAX_LINE_DELAY_US + GRACE_US);
+                late |= received_at.is_some_and(|at| now > at + MAX_LINE_DELAY_US + TIME_LIMIT_TOLERANCE_US);
             }
         }
         if late {
@@ -1044,9 +1057,9 @@
     }
 
     /// Handles a segment from a backend that arrives at a proxy.
-    fn handle_backend_segment(&mut self, connection: usize, segment: &Segment) {
+    fn handle_segment_from_backend(&mut self, connection: usize, segment: &Segment) {
         let now = self.now;
-        let Some(attempt) = self.attempt_mut(connection) else { return };
+        let Some(attempt) = self.backend_connection_mut(connection) else { return };
         let Segment::Bytes(bytes) = segment else {
             attempt.backend_ended_at.get_or_insert(now);
             return;
@@ -1071,7 +1084,7 @@
     fn check_slow_start_limit(&mut self, connection: usize, segment: &Segment) {
         let Segment::Bytes(bytes) = segment else { return };
         let now = self.now;
-        let Some(attempt) = self.attempt(connection) else { return };
+        let Some(attempt) = self.backend_connection(connection) else { return };
         // Counts the segment that completes the request line. Later segments, on an established connection,
         // are not requests.
         if attempt.client_connection.is_some() || attempt.request_id.is_none() || !bytes.contains(&b'\n') {
@@ -1118,7 +1131,7 @@
     fn handle_discovery_call(&mut self, connection: usize, segment: &Segment) {
         let now = self.now;
         let Segment::Bytes(bytes) = segment else { return };
-        let ConnectionKind::DiscoveryCall(call) = &mut self.connections[connection].kind else { return };
+        let ConnectionKind::Discovery(call) = &mut self.connections[connection].kind else { return };
         let starts_call = call.request.is_empty();
         call.request.extend_from_slice(bytes);
         if call.request.ends_with(b"\r\n\r\n") {
@@ -1142,7 +1155,7 @@
         proxy.recent_calls.push_back(now);
         proxy.last_call_at = now;
         let (calls, changes) = (proxy.recent_calls.len(), proxy.recent_changes.len());
-        if answered_at.is_some_and(|at| now > at + MAX_WATCH_GAP_US + GRACE_US) {
+        if answered_at.is_some_and(|at| now > at + MAX_WATCH_GAP_US + TIME_LIMIT_TOLERANCE_US) {
             let late = now - answered_at.unwrap_or(now);
             self.record_violation(
                 Rule::WatchGap,
@@ -1164,7 +1177,7 @@
     fn handle_discovery_response(&mut self, connection: usize, segment: &Segment) {
         let now = self.now;
         let Segment::Bytes(bytes) = segment else { return };
-        let ConnectionKind::DiscoveryCall(call) = &mut self.connections[connection].kind else { return };
+        let ConnectionKind::Discovery(call) = &mut self.connections[connection].kind else { return };
         call.response.extend_from_slice(bytes);
         let Some(head_end) = call.response.windows(4).position(|part| part == b"\r\n\r\n") else { return };
         let head = String::from_utf8_lossy(&call.response[..head_end]).to_lowercase();
@@ -1221,7 +1234,7 @@
             let connection = &connections[index];
             match &connection.kind {
                 ConnectionKind::Client(client) => client.proxy_ended_at.is_none(),
-                ConnectionKind::Attempt(attempt) => !attempt.proxy_ended,
+                ConnectionKind::Backend(attempt) => !attempt.proxy_ended,
                 _ => false,
             }
         });
@@ -1229,10 +1242,13 @@
             match &connections[connection].kind {
                 ConnectionKind::Client(client) => {
                     let attempt = client.attempt.and_then(|attempt| match &connections[attempt].kind {
-                        ConnectionKind::Attempt(attempt) => Some(attempt),
+                        ConnectionKind::Backend(attempt) => Some(attempt),
                         _ => None,
                     });
-                    if client.client_ended_at.is_some_and(|at| now > at + MAX_END_DELAY_US + GRACE_US) {
+                    if client
+                        .client_ended_at
+                        .is_some_and(|at| now > at + MAX_END_DELAY_US + TIME_LIMIT_TOLERANCE_US)
+                    {
                         // The proxy ends the attempt's connection too; it may end the client's connection a
                         // moment later.
                         if attempt.is_some_and(|attempt| {
@@ -1246,18 +1262,21 @@
                         }
                     } else if client.client_ended_at.is_none() {
                         let due = client.request.as_ref().map(|request| request.2);
-                        if client.answer_count == 0 && due.is_some_and(|due| now > due + GRACE_US) {
+                        if client.answer_count == 0
+                            && due.is_some_and(|due| now > due + TIME_LIMIT_TOLERANCE_US)
+                        {
                             found.push((Rule::Unanswered, connection, "no answer by the deadline"));
                         }
                         if client.misbehaving
                             && client.answer_count == 0
-                            && now > client.opened_at + MISBEHAVIOR_DEADLINE_US + GRACE_US
+                            && now > client.opened_at + MISBEHAVIOR_DEADLINE_US + TIME_LIMIT_TOLERANCE_US
                         {
                             found.push((Rule::BadUnanswered, connection, "neither an error nor a close"));
                         }
                         let backend_ended_at = attempt.and_then(|attempt| attempt.backend_ended_at);
                         if client.established
-                            && backend_ended_at.is_some_and(|at| now > at + MAX_END_DELAY_US + GRACE_US)
+                            && backend_ended_at
+                                .is_some_and(|at| now > at + MAX_END_DELAY_US + TIME_LIMIT_TOLERANCE_US)
                             && !client.slow_reader
                         {
                             found.push((
@@ -1269,14 +1288,14 @@
                         let line_overdue = client
                             .downstream_bytes
                             .oldest_line_at()
-                            .is_some_and(|at| now > at + MAX_LINE_DELAY_US + GRACE_US);
+                            .is_some_and(|at| now > at + MAX_LINE_DELAY_US + TIME_LIMIT_TOLERANCE_US);
                         if client.established && line_overdue && !client.slow_reader && !client.moved {
                             found.push((Rule::HeldBack, connection, "a line from the backend is held back"));
                         }
                         let line_overdue = client
                             .upstream_bytes
                             .oldest_line_at()
-                            .is_some_and(|at| now > at + MAX_LINE_DELAY_US + GRACE_US);
+                            .is_some_and(|at| now > at + MAX_LINE_DELAY_US + TIME_LIMIT_TOLERANCE_US);
                         let backend_answers =
                             attempt.is_some_and(|attempt| backends[attempt.backend].state.reachable);
                         if client.established && line_overdue && backend_answers && backend_ended_at.is_none()
@@ -1286,7 +1305,7 @@
                         let silent = client
                             .unanswered_lines
                             .front()
-                            .is_some_and(|&at| now > at + MAX_SILENCE_US + GRACE_US);
+                            .is_some_and(|&at| now > at + MAX_SILENCE_US + TIME_LIMIT_TOLERANCE_US);
                         if client.established
                             && silent
                             && !client.moved
@@ -1297,7 +1316,7 @@
                         }
                     }
                 }
-                ConnectionKind::Attempt(_) | ConnectionKind::DiscoveryCall(_) | ConnectionKind::Other => {}
+                ConnectionKind::Backend(_) | ConnectionKind::Discovery(_) | ConnectionKind::Other => {}
             }
         }
         for (rule, connection, what) in found {
@@ -1307,7 +1326,9 @@
         }
         for index in 0..self.proxies.len() {
             let proxy = &mut self.proxies[index];
-            let late = proxy.watch_answered_at.is_some_and(|at| now > at + MAX_WATCH_GAP_US + GRACE_US);
+            let late = proxy
+                .watch_answered_at
+                .is_some_and(|at| now > at + MAX_WATCH_GAP_US + TIME_LIMIT_TOLERANCE_US);
             if late && proxy.running && proxy.stop_requested_at.is_none() {
                 proxy.watch_answered_at = None;
                 self.record_violation(
@@ -1317,7 +1338,7 @@
                 );
             }
             let proxy = &mut self.proxies[index];
-            if now > proxy.last_call_at + MAX_CALL_INTERVAL_US + GRACE_US
+            if now > proxy.last_call_at + MAX_CALL_INTERVAL_US + TIME_LIMIT_TOLERANCE_US
                 && proxy.running
                 && proxy.stop_requested_at.is_none()
             {
@@ -1332,7 +1353,7 @@
     }
 
     /// Returns the number of connections that a proxy still holds although their clients have ended them.
-    pub fn unclosed_connections(&self, proxy: usize) -> usize {
+    pub fn unclosed_connection_count(&self, proxy: usize) -> usize {
         let is_held = |connection: &&usize| match &self.connections[**connection].kind {
             ConnectionKind::Client(client) => {
                 client.proxy == proxy && client.proxy_ended_at.is_none() && client.client_ended_at.is_some()
--- a/crates/world/src/run.rs
+++ b/crates/world/src/run.rs
@@ -662,7 +662,7 @@
                 continue;
             }
             let id = self.sim.observer.borrow().process_of(index);
-            let held_connections = self.sim.observer.borrow().unclosed_connections(index);
+            let held_connections = self.sim.observer.borrow().unclosed_connection_count(index);
             let (tasks, descriptors) = (self.sim.tasks_of(id), self.sim.descriptors_of(id));
             // Listener, reserved descriptor, discovery, and for each backend one kept probe connection and
             // one that is being opened.
