--- a/crates/world/src/net.rs
+++ b/crates/world/src/net.rs
@@ -5,7 +5,7 @@
 
 use crate::observer::Role;
 use crate::rng::Rng;
-use crate::sim::{Due, ProcessId, Sim, Sleep};
+use crate::sim::{Event, ProcessId, Sim, Sleep};
 use pierloom_host::{
     Host, ListenerIo, Local, Machine, Micros, Signal, Signals, StreamIo, TcpListener, TcpStream,
 };
@@ -34,17 +34,17 @@
 #[derive(Clone, Copy, Debug)]
 pub struct LinkConditions {
     /// One-way delay within a zone; microseconds.
-    pub same_zone_delay: Micros,
+    pub same_zone_delay_us: Micros,
     /// One-way delay between zones; microseconds.
-    pub cross_zone_delay: Micros,
+    pub cross_zone_delay_us: Micros,
     /// Each segment's delay is lengthened by a random fraction of it, up to this value.
     pub jitter: f64,
     /// Bytes that may be in transit to an end or unread there.
-    pub window: usize,
+    pub window_bytes: usize,
     /// Share of reads and writes that transfer only part of the bytes they could.
-    pub partial: f64,
+    pub partial_transfer_share: f64,
     /// Share of resets that overtake segments sent before them; those segments are lost.
-    pub lossy: f64,
+    pub overtaking_reset_share: f64,
 }
 
 /// A unit that a connection carries in one direction.
@@ -94,7 +94,8 @@
 
 struct Connection {
     ends: [End; 2],
-    /// Ends with an arrival that waits until neither side is partitioned, one entry for each segment.
+    /// For each segment that waits until neither side is partitioned, the end (0 or 1) to which it must be
+    /// delivered.
     blocked_arrivals: Vec<usize>,
 }
 
@@ -115,7 +116,7 @@
     /// Whether the process's machine is partitioned from the network.
     partitioned: Cell<bool>,
     max_descriptors: usize,
-    descriptors: Cell<usize>,
+    open_descriptors: Cell<usize>,
     /// Files that the process can read, by path.
     pub files: RefCell<BTreeMap<String, Vec<u8>>>,
     env_vars: BTreeMap<String, String>,
@@ -171,7 +172,7 @@
 
     fn link_delay(&mut self, from: ProcessId, to: ProcessId) -> Micros {
         let same_zone = self.processes[from].zone == self.processes[to].zone;
-        let base = if same_zone { self.links.same_zone_delay } else { self.links.cross_zone_delay };
+        let base = if same_zone { self.links.same_zone_delay_us } else { self.links.cross_zone_delay_us };
         base + (base as f64 * self.links.jitter * self.rng.random::<f64>()) as Micros
     }
 
@@ -182,7 +183,10 @@
 
     /// The number of bytes that a read or write of up to `length` bytes transfers.
     fn partial_length(&mut self, length: usize) -> usize {
-        if length > 1 && self.links.partial > 0.0 && self.rng.random_bool(self.links.partial) {
+        if length > 1
+            && self.links.partial_transfer_share > 0.0
+            && self.rng.random_bool(self.links.partial_transfer_share)
+        {
             self.rng.random_range(1..=length)
         } else {
             length
@@ -212,7 +216,7 @@
     /// The zone of the process's machine.
     pub zone: usize,
     /// Maximum number of open descriptors.
-    pub descriptors: usize,
+    pub max_descriptors: usize,
     /// Addresses of the machine; it refuses connects to them where nothing listens.
     pub addresses: Vec<IpAddr>,
     /// Files that the process can read, by path.
@@ -229,7 +233,7 @@
         ProcessOptions {
             name: name.into(),
             zone,
-            descriptors: usize::MAX,
+            max_descriptors: usize::MAX,
             addresses: vec![address],
             files: BTreeMap::new(),
             env_vars: BTreeMap::new(),
@@ -251,8 +255,8 @@
             zone: options.zone,
             alive: Cell::new(true),
             partitioned: Cell::new(false),
-            max_descriptors: options.descriptors,
-            descriptors: Cell::new(0),
+            max_descriptors: options.max_descriptors,
+            open_descriptors: Cell::new(0),
             files: RefCell::new(options.files),
             env_vars: options.env_vars,
             signals: RefCell::default(),
@@ -338,13 +342,13 @@
             }
         }
         for (connection, end) in arrivals {
-            self.at(self.now(), Due::Deliver(connection, end));
+            self.schedule(self.now(), Event::Deliver(connection, end));
         }
     }
 
     /// Number of descriptors that a process has open.
-    pub fn descriptors_of(&self, id: ProcessId) -> usize {
-        self.net.borrow().processes[id].descriptors.get()
+    pub fn descriptor_count(&self, id: ProcessId) -> usize {
+        self.net.borrow().processes[id].open_descriptors.get()
     }
 
     /// Creates a connection and returns its number; end 0 is the connecting side.
@@ -366,8 +370,10 @@
             net.connections[connection].ends[end].process,
             net.connections[connection].ends[1 - end].process,
         );
-        let lossy = net.links.lossy;
-        let overtakes = matches!(segment, Segment::Reset) && lossy > 0.0 && net.rng.random_bool(lossy);
+        let overtaking_share = net.links.overtaking_reset_share;
+        let overtakes = matches!(segment, Segment::Reset)
+            && overtaking_share > 0.0
+            && net.rng.random_bool(overtaking_share);
         let at = self.now() + net.link_delay(from, to);
         let other = &mut net.connections[connection].ends[1 - end];
         if overtakes {
@@ -382,7 +388,7 @@
         other.last_arrival_at = at.max(other.last_arrival_at);
         let at = other.last_arrival_at;
         drop(net);
-        self.at(at, Due::Deliver(connection, 1 - end));
+        self.schedule(at, Event::Deliver(connection, 1 - end));
     }
 
     /// Delivers the first segment in transit to that end.
@@ -452,17 +458,17 @@
 
 impl Descriptor {
     fn acquire(process: &Rc<Process>) -> io::Result<Self> {
-        if process.descriptors.get() >= process.max_descriptors {
+        if process.open_descriptors.get() >= process.max_descriptors {
             return Err(io::Error::from_raw_os_error(EMFILE));
         }
-        process.descriptors.set(process.descriptors.get() + 1);
+        process.open_descriptors.set(process.open_descriptors.get() + 1);
         Ok(Descriptor(process.clone()))
     }
 }
 
 impl Drop for Descriptor {
     fn drop(&mut self) {
-        self.0.descriptors.set(self.0.descriptors.get() - 1);
+        self.0.open_descriptors.set(self.0.open_descriptors.get() - 1);
     }
 }
 
@@ -504,7 +510,7 @@
 
     fn poll_writable(&self, context: &mut Context<'_>) -> Poll<()> {
         self.with_net(|net, connection, end| {
-            let window = net.links.window;
+            let window = net.links.window_bytes;
             let [first, second] = &mut net.connections[connection].ends;
             let (local, peer) = if end == 0 { (first, second) } else { (second, first) };
             if local.is_reset
@@ -552,7 +558,7 @@
                 return Err(io::Error::from(io::ErrorKind::BrokenPipe));
             }
             let window_space =
-                net.links.window.saturating_sub(peer.receive_buffer.len() + peer.in_transit_bytes);
+                net.links.window_bytes.saturating_sub(peer.receive_buffer.len() + peer.in_transit_bytes);
             if window_space == 0 {
                 return Err(io::ErrorKind::WouldBlock.into());
             }
@@ -675,7 +681,7 @@
         let returns_at = now + net.link_delay(machine, self.from);
         let listener = net.listeners.get(&self.to).map(|l| (l.process, l.accept_queue.len() < l.backlog));
         let Some((process, backlog_has_space)) = listener else {
-            return Stage::Returning(self.sim.sleep(returns_at), None);
+            return Stage::Returning(self.sim.sleep_until(returns_at), None);
         };
         if !backlog_has_space {
             return Stage::Unanswered;
@@ -692,7 +698,7 @@
             end: 0,
             descriptor,
         });
-        Stage::Returning(self.sim.sleep(returns_at), stream)
+        Stage::Returning(self.sim.sleep_until(returns_at), stream)
     }
 }
 
@@ -709,7 +715,8 @@
                         return Poll::Pending;
                     }
                 }
-                // A connect is polled again when a partition ends. The server resets it, as it never saw it.
+                // When a partition ends, the connect is polled again and fails with a reset: the server
+                // does not know the connect.
                 Stage::Unanswered => {
                     let net = self.sim.net.borrow();
                     let machine = net.address_owners.get(&self.to.ip());
@@ -740,7 +747,7 @@
         } else {
             0
         };
-        Box::pin(self.sim.sleep(at + delay))
+        Box::pin(self.sim.sleep_until(at + delay))
     }
 
     fn spawn(&self, task: Local<'static, ()>) {
@@ -761,7 +768,7 @@
             self.sim.observer.borrow_mut().connecting(self.id, machine);
             self.sim.now() + net.link_delay(self.id, machine)
         };
-        let stage = Stage::Outbound(self.sim.sleep(arrives_at));
+        let stage = Stage::Outbound(self.sim.sleep_until(arrives_at));
         Box::pin(Connecting { sim: self.sim.clone(), from: self.id, to, descriptor, stage })
     }
 
--- a/crates/world/src/run.rs
+++ b/crates/world/src/run.rs
@@ -25,7 +25,8 @@
 const MEAN_LIFETIME_SECONDS: f64 = 15.0;
 /// Path of a proxy's config file on its machine.
 const CONFIG_PATH: &str = "/run/config.json";
-/// Time after the last event of a run in which requests and connections in progress must end.
+/// Time after the end of the script and of the last client, within which requests and connections in
+/// progress must end and the proxies must become idle.
 const SETTLE_TIME_US: Micros = 12_000_000;
 /// Time until clients' proxy selection notices a planned stop of a proxy.
 const STOP_DETECTION_US: std::ops::Range<Micros> = 200_000..400_000;
@@ -37,9 +38,9 @@
 const PARTITION_REPORT_DELAY_US: std::ops::Range<Micros> = 6_000_000..13_000_000;
 /// Time until discovery reports a backend that started or is reachable again.
 const START_REPORT_DELAY_US: std::ops::Range<Micros> = 300_000..1_400_000;
-/// Time from the longest deadline, which counts as at most `MAX_STOP_DEADLINE_US`, until a stopping proxy is
-/// killed.
-const KILL_SLACK_US: Micros = 700_000;
+/// A stopping proxy is killed this long after the longest deadline, or after `MAX_STOP_DEADLINE_US` if that
+/// is shorter.
+const KILL_DELAY_AFTER_DEADLINE_US: Micros = 700_000;
 /// Longest deadline that a planned stop waits for.
 const MAX_STOP_DEADLINE_US: Micros = 3_000_000;
 
@@ -100,8 +101,8 @@
     script: Script,
     sim: Rc<Sim>,
     endpoint_store: Rc<EndpointStore>,
-    service: RefCell<Option<Rc<DiscoveryService>>>,
-    discovery: Cell<ProcessId>,
+    discovery_service: RefCell<Option<Rc<DiscoveryService>>>,
+    discovery_process: Cell<ProcessId>,
     /// Index of discovery's current address; each reload moves discovery to the next one.
     discovery_index: Cell<u8>,
     degradations: Vec<Rc<Degradation>>,
@@ -185,12 +186,12 @@
 /// Runs a script to its end.
 pub fn run_script(script: &Script, options: &Options) -> Report {
     let links = LinkConditions {
-        same_zone_delay: script.links.same_us,
-        cross_zone_delay: script.links.cross_us,
+        same_zone_delay_us: script.links.same_us,
+        cross_zone_delay_us: script.links.cross_us,
         jitter: script.links.jitter,
-        window: script.links.window,
-        partial: script.links.partial,
-        lossy: script.links.lossy,
+        window_bytes: script.links.window,
+        partial_transfer_share: script.links.partial,
+        overtaking_reset_share: script.links.lossy,
     };
     let contract = &script.contract;
     let slow_start_rule = SlowStartRule {
@@ -215,8 +216,8 @@
         script: script.clone(),
         sim: sim.clone(),
         endpoint_store: EndpointStore::new(entries.collect()),
-        service: RefCell::default(),
-        discovery: Cell::new(0),
+        discovery_service: RefCell::default(),
+        discovery_process: Cell::new(0),
         discovery_index: Cell::new(0),
         degradations: names.iter().map(|_| Degradation::none(load_report_delay.clone())).collect(),
         load_report_delay,
@@ -275,7 +276,7 @@
             violations: observer.violations.clone(),
             digest: observer.digest(),
             counts: observer.counts,
-            task_counts: sim.work(),
+            task_counts: sim.task_counts(),
             outcomes: clients.iter().map(|client| client.outcome.borrow().clone()).collect(),
             length: sim.now() - EPOCH,
             trace_lines: observer.trace_lines.clone(),
@@ -295,22 +296,22 @@
     /// Schedules `action` for that time of the script.
     fn at(self: &Rc<Self>, ms: u64, action: impl FnOnce(&Rc<World>) + 'static) {
         let world = self.clone();
-        self.sim.call(EPOCH + ms * 1_000, move || action(&world));
+        self.sim.schedule_call(EPOCH + ms * 1_000, move || action(&world));
     }
 
     /// Schedules `action` after a delay.
     fn after(self: &Rc<Self>, delay: Micros, action: impl FnOnce(&Rc<World>) + 'static) {
         let world = self.clone();
-        self.sim.call(self.sim.now() + delay, move || action(&world));
+        self.sim.schedule_call(self.sim.now() + delay, move || action(&world));
     }
 
     fn start_discovery(self: &Rc<Self>) {
         let address = discovery_address(self.discovery_index.get());
         let (id, host) = self.sim.start(ProcessOptions::plain("discovery", 0, address.ip()));
         self.sim.observer.borrow_mut().register_process(id, Role::Discovery, "discovery");
-        self.discovery.set(id);
+        self.discovery_process.set(id);
         let service = DiscoveryService::new(self.endpoint_store.clone(), host.clone());
-        *self.service.borrow_mut() = Some(service.clone());
+        *self.discovery_service.borrow_mut() = Some(service.clone());
         if let Ok(listener) = host.listen(address, 64, false) {
             host.spawn(service.serve(listener));
         }
@@ -378,7 +379,7 @@
         let (spec, name) = (&self.script.proxies[index], format!("p{index}"));
         let address = proxy_address(index);
         let mut options = ProcessOptions::plain(&name, spec.zone, address.ip());
-        options.descriptors = spec.descriptors;
+        options.max_descriptors = spec.descriptors;
         options.injected_defect = self.injected_defect;
         options.files.insert(CONFIG_PATH.into(), self.config(index).into_bytes());
         let (id, host) = self.sim.start(options);
@@ -447,7 +448,7 @@
         let detected_after = self.draw(STOP_DETECTION_US);
         self.after(detected_after, move |world| world.proxy_selector.proxies.borrow_mut()[index].2 = false);
         let max_deadline = (self.script.contract.deadline_ms * 1_000).min(MAX_STOP_DEADLINE_US);
-        self.after(max_deadline + KILL_SLACK_US, move |world| {
+        self.after(max_deadline + KILL_DELAY_AFTER_DEADLINE_US, move |world| {
             if world.sim.observer.borrow().process_of(index) == id && !world.ended.borrow()[index] {
                 world.sim.observer.borrow_mut().exit_overdue(index);
                 world.kill_proxy(index);
@@ -604,11 +605,11 @@
                 self.at(until_ms, move |world| world.endpoint_store.failing.set(false));
             }
             Fault::DiscoveryCut { at_ms, until_ms } => {
-                self.at(at_ms, move |world| world.sim.partition(world.discovery.get()));
-                self.at(until_ms, move |world| world.sim.heal(world.discovery.get(), true));
+                self.at(at_ms, move |world| world.sim.partition(world.discovery_process.get()));
+                self.at(until_ms, move |world| world.sim.heal(world.discovery_process.get(), true));
             }
             Fault::DiscoveryDown { at_ms, until_ms } => {
-                self.at(at_ms, move |world| world.sim.kill(world.discovery.get()));
+                self.at(at_ms, move |world| world.sim.kill(world.discovery_process.get()));
                 self.at(until_ms, move |world| world.start_discovery());
             }
             Fault::Reload { at_ms } => self.at(at_ms, World::reload),
@@ -638,7 +639,7 @@
     /// Moves discovery to another address and makes all running proxies reload their configs.
     fn reload(self: &Rc<Self>) {
         self.discovery_index.set(self.discovery_index.get() + 1);
-        if let Some(old_service) = self.service.borrow_mut().take() {
+        if let Some(old_service) = self.discovery_service.borrow_mut().take() {
             old_service.move_away();
         }
         self.start_discovery();
@@ -663,7 +664,7 @@
             }
             let id = self.sim.observer.borrow().process_of(index);
             let held_connections = self.sim.observer.borrow().unclosed_connection_count(index);
-            let (tasks, descriptors) = (self.sim.tasks_of(id), self.sim.descriptors_of(id));
+            let (tasks, descriptors) = (self.sim.task_count(id), self.sim.descriptor_count(id));
             // Listener, reserved descriptor, discovery, and for each backend one kept probe connection and
             // one that is being opened.
             let max_descriptors = 4 + 2 * self.script.backends.len();
@@ -689,42 +690,43 @@
         }
     }
 
-    /// Stops all proxies as planned. A proxy without requests must end before the kill is due.
+    /// Stops all proxies with SIGTERM and checks that they exit before the kill is due, as no requests are
+    /// left. Returns false if tasks never become idle.
     fn stop_all(self: &Rc<Self>, now: Micros) -> bool {
         for index in 0..self.script.proxies.len() {
             self.stop_proxy(index);
         }
         let max_deadline = (self.script.contract.deadline_ms * 1_000).min(MAX_STOP_DEADLINE_US);
         // A request that was never released keeps a proxy running until shortly before the kill.
-        let became_idle = self.sim.run_until(now + max_deadline + KILL_SLACK_US - 400_000);
+        let became_idle = self.sim.run_until(now + max_deadline + KILL_DELAY_AFTER_DEADLINE_US - 400_000);
         for index in 0..self.script.proxies.len() {
             if !self.ended.borrow()[index] {
                 let violation = format!("proxy {index} waits for requests that do not exist");
                 self.sim.observer.borrow_mut().report_violation(Rule::LeftOver, violation);
             }
         }
-        became_idle && self.sim.run_until(now + max_deadline + KILL_SLACK_US + 100_000)
+        became_idle && self.sim.run_until(now + max_deadline + KILL_DELAY_AFTER_DEADLINE_US + 100_000)
     }
 
     /// Ends all processes and discards all events, so that no reference cycle keeps this world alive.
     fn shut_down(&self) {
-        let count = self.sim.processes();
+        let count = self.sim.process_count();
         (0..count).for_each(|id| self.sim.kill(id));
-        self.sim.clear();
+        self.sim.discard_events();
         self.backends.borrow_mut().clear();
-        self.service.borrow_mut().take();
+        self.discovery_service.borrow_mut().take();
     }
 }
 
 /// A simulation with one process, for tests that need only a virtual clock and a host.
 pub fn single_process(seed: u64) -> (Rc<Sim>, Host) {
     let links = LinkConditions {
-        same_zone_delay: 100,
-        cross_zone_delay: 1_000,
+        same_zone_delay_us: 100,
+        cross_zone_delay_us: 1_000,
         jitter: 0.0,
-        window: 65_536,
-        partial: 0.0,
-        lossy: 0.0,
+        window_bytes: 65_536,
+        partial_transfer_share: 0.0,
+        overtaking_reset_share: 0.0,
     };
     let slow_start_rule = SlowStartRule {
         min_share: 0.3,
--- a/crates/world/src/sim.rs
+++ b/crates/world/src/sim.rs
@@ -16,8 +16,8 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::task::{Context, Poll, Wake, Waker};
 
-/// Start of the virtual clock; Unix time in microseconds. It is far from zero, so that no code takes a time
-/// near the start of a run for one long past.
+/// Start of the virtual clock; Unix time in microseconds. It is far from 0, which stands for "long ago",
+/// so that no code takes a time near the start of a run for one long past.
 pub const EPOCH: Micros = 1_700_000_000_000_000;
 /// Polls within one instant after which a run counts as never idle.
 const MAX_POLLS_PER_INSTANT: u32 = 200_000;
@@ -28,7 +28,7 @@
 type TaskKey = usize;
 
 /// An event in the queue.
-pub enum Due {
+pub enum Event {
     /// Wakes a sleeping task.
     Wake(Waker),
     /// Runs a closure.
@@ -38,7 +38,7 @@
 }
 
 /// Position in the event queue: the time, a random order within the same time, and a unique number.
-pub type Key = (Micros, u32, u64);
+pub type EventKey = (Micros, u32, u64);
 
 struct TaskWaker {
     key: TaskKey,
@@ -69,8 +69,8 @@
 /// A simulation: the virtual clock, its event queue, the tasks, and the network.
 pub struct Sim {
     now: Cell<Micros>,
-    queue: RefCell<BTreeMap<Key, Due>>,
-    next_event: Cell<u64>,
+    queue: RefCell<BTreeMap<EventKey, Event>>,
+    next_event_number: Cell<u64>,
     /// Random order of events and tasks within one instant.
     order_rng: RefCell<Rng>,
     tasks: RefCell<Slab<Task>>,
@@ -89,7 +89,7 @@
         Rc::new(Sim {
             now: Cell::new(EPOCH),
             queue: RefCell::default(),
-            next_event: Cell::new(0),
+            next_event_number: Cell::new(0),
             order_rng: RefCell::new(rng::stream(seed, "order")),
             tasks: RefCell::default(),
             ready: Arc::default(),
@@ -106,25 +106,25 @@
     }
 
     /// Numbers of task polls and of events so far.
-    pub fn work(&self) -> (u64, u64) {
+    pub fn task_counts(&self) -> (u64, u64) {
         (self.poll_count.get(), self.event_count.get())
     }
 
     /// Schedules an event for that time, or for now if the time has passed.
-    pub fn at(&self, at: Micros, due: Due) -> Key {
-        let number = self.next_event.replace(self.next_event.get() + 1);
+    pub fn schedule(&self, at: Micros, event: Event) -> EventKey {
+        let number = self.next_event_number.replace(self.next_event_number.get() + 1);
         let key = (at.max(self.now()), self.order_rng.borrow_mut().random(), number);
-        self.queue.borrow_mut().insert(key, due);
+        self.queue.borrow_mut().insert(key, event);
         key
     }
 
     /// Schedules a closure for that time.
-    pub fn call(&self, at: Micros, action: impl FnOnce() + 'static) {
-        self.at(at, Due::Call(Box::new(action)));
+    pub fn schedule_call(&self, at: Micros, action: impl FnOnce() + 'static) {
+        self.schedule(at, Event::Call(Box::new(action)));
     }
 
     /// A future that completes at that time.
-    pub fn sleep(self: &Rc<Self>, at: Micros) -> Sleep {
+    pub fn sleep_until(self: &Rc<Self>, at: Micros) -> Sleep {
         Sleep { sim: self.clone(), at, key: None }
     }
 
@@ -139,7 +139,7 @@
     }
 
     /// Number of tasks of that process.
-    pub fn tasks_of(&self, process: ProcessId) -> usize {
+    pub fn task_count(&self, process: ProcessId) -> usize {
         self.tasks.borrow().iter().filter(|(_, task)| task.process == process).count()
     }
 
@@ -156,12 +156,12 @@
     }
 
     /// Number of processes started so far, ended ones included.
-    pub fn processes(&self) -> usize {
+    pub fn process_count(&self) -> usize {
         self.net.borrow().len()
     }
 
     /// Discards all events that are still due.
-    pub fn clear(&self) {
+    pub fn discard_events(&self) {
         let queue = std::mem::take(&mut *self.queue.borrow_mut());
         drop(queue);
     }
@@ -188,12 +188,12 @@
                         polls = 0;
                         self.advance(at);
                     }
-                    let due = self.queue.borrow_mut().pop_first();
+                    let event = self.queue.borrow_mut().pop_first();
                     self.event_count.set(self.event_count.get() + 1);
-                    match due {
-                        Some((_, Due::Wake(waker))) => waker.wake(),
-                        Some((_, Due::Call(action))) => action(),
-                        Some((_, Due::Deliver(connection, end))) => self.deliver(connection, end),
+                    match event {
+                        Some((_, Event::Wake(waker))) => waker.wake(),
+                        Some((_, Event::Call(action))) => action(),
+                        Some((_, Event::Deliver(connection, end))) => self.deliver(connection, end),
                         None => {}
                     }
                 }
@@ -247,7 +247,7 @@
     sim: Rc<Sim>,
     at: Micros,
     /// The event in the queue, once the future has been polled.
-    key: Option<Key>,
+    key: Option<EventKey>,
 }
 
 impl Future for Sleep {
@@ -260,9 +260,9 @@
         let waker = context.waker().clone();
         match self.key {
             Some(key) => {
-                self.sim.queue.borrow_mut().insert(key, Due::Wake(waker));
+                self.sim.queue.borrow_mut().insert(key, Event::Wake(waker));
             }
-            None => self.key = Some(self.sim.at(self.at, Due::Wake(waker))),
+            None => self.key = Some(self.sim.schedule(self.at, Event::Wake(waker))),
         }
         Poll::Pending
     }
